--- a/benchmarks/soak/broken_director.py
+++ b/benchmarks/soak/broken_director.py
@@ -16,7 +16,7 @@
 from gladewalk.policy.retries import RetryPolicy
 from gladewalk.registry.servers import ServerRegistry
 from gladewalk.upstream import http1, protocol_fields
-from gladewalk.upstream.connection_rest import ConnectionRest
+from gladewalk.upstream.reuse_delay import ReuseDelay
 
 LATE_ANSWER_S = 1.5
 EXTRA_WAIT_MS = 1_000
@@ -89,7 +89,7 @@
 
 def reuse_connections_at_once() -> None:
     """Connections do not rest: late second responses are taken for the next requests'."""
-    _replace(ConnectionRest, "duration_ms", lambda self, now_ms: 0.0)
+    _replace(ReuseDelay, "duration_ms", lambda self, now_ms: 0.0)
 
 
 def omit_retry_after() -> None:
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -12,7 +12,6 @@
 from ..core.exchange import Attempt, AttemptResult, ResponseHead
 from ..core.response_buffer import MAX_OBJECT_BYTES
 from ..net.sockets import MAX_FRAMING_BYTES, socket_poll, write_now
-from .connection_rest import ConnectionRest
 from .protocol_fields import (
     AUTHORITY,
     MAX_HEAD_BYTES,
@@ -22,6 +21,7 @@
     request_fields,
     request_path,
 )
+from .reuse_delay import ReuseDelay
 from .work_items import ConnectionOwner, HealthCheck, WorkItem
 
 
@@ -47,7 +47,7 @@
         """The server's name in the endpoint list."""
 
     @property
-    def rest(self) -> ConnectionRest:
+    def rest(self) -> ReuseDelay:
         """How long its connections rest after each response."""
 
 
--- a/gladewalk/upstream/connection_rest.py
+++ b/gladewalk/upstream/reuse_delay.py
@@ -9,22 +9,22 @@
 
 import math
 
-REST_MS = 60.0  # second responses are expected up to 50 ms late; the rest is for the path's jitter
-MAX_REST_MS = 200.0
+REUSE_DELAY_MS = 60.0  # second responses are expected up to 50 ms late; the rest is for the path's jitter
+MAX_REUSE_DELAY_MS = 200.0
 LATENESS_MARGIN = 2.0  # a server's rest is the lateness that it may have shown, times this
 LATENESS_MEMORY_MS = 15_000.0
 
 
-class ConnectionRest:
-    """The rest of one server's connections: `REST_MS`, or longer while later surplus bytes are remembered."""
+class ReuseDelay:
+    """The delay of one server's connections: `REUSE_DELAY_MS`, or more while later surplus bytes are known."""
 
     def __init__(self) -> None:
-        self._learned_ms = REST_MS
+        self._learned_ms = REUSE_DELAY_MS
         self._learned_until_ms = -math.inf
 
     def duration_ms(self, now_ms: float) -> float:
         """Returns how long a connection rests after a response, in milliseconds."""
-        return self._learned_ms if now_ms < self._learned_until_ms else REST_MS
+        return self._learned_ms if now_ms < self._learned_until_ms else REUSE_DELAY_MS
 
     def surplus_read(self, now_ms: float, max_lateness_ms: float) -> None:
         """Learns that bytes have come behind a complete response.
@@ -33,6 +33,6 @@
             now_ms: The present, steady milliseconds.
             max_lateness_ms: The most by which a response of the server may have come late by this sign.
         """
-        wanted_ms = min(MAX_REST_MS, LATENESS_MARGIN * max_lateness_ms)
+        wanted_ms = min(MAX_REUSE_DELAY_MS, LATENESS_MARGIN * max_lateness_ms)
         self._learned_ms = max(self.duration_ms(now_ms), wanted_ms)
         self._learned_until_ms = now_ms + LATENESS_MEMORY_MS
--- a/gladewalk/upstream/upstream_server.py
+++ b/gladewalk/upstream/upstream_server.py
@@ -8,8 +8,8 @@
 
 from ..config.platform import Address, PlatformConfig
 from ..core.deadlines import DeadlineKey
-from .connection_rest import ConnectionRest
 from .http1 import Http1Connection
+from .reuse_delay import ReuseDelay
 from .work_items import ConnectionOwner, WorkItem
 
 if TYPE_CHECKING:  # the options' library is not imported without a file of options
@@ -70,7 +70,7 @@
         self.idle: list[Http1Connection] = []
         self.group: SharedConnections | None = None
         self.is_removed = False
-        self.rest = ConnectionRest()
+        self.rest = ReuseDelay()
 
     def release(self, connection: Http1Connection) -> None:
         """Takes a connection back as idle, or closes one that leads to a former address."""
--- a/tests/test_golden_upstream.py
+++ b/tests/test_golden_upstream.py
@@ -21,10 +21,10 @@
 from gladewalk.core.exchange import Attempt, AttemptResult, ClientRequest, OpenRequest, ResponseHead
 from gladewalk.core.request_log import RequestLog
 from gladewalk.upstream.connection_group import ConnectionGroup
-from gladewalk.upstream.connection_rest import ConnectionRest
 from gladewalk.upstream.http1 import Http1Connection, encode_health_check
 from gladewalk.upstream.http2 import Http2Connection
 from gladewalk.upstream.protocol_fields import read_result
+from gladewalk.upstream.reuse_delay import ReuseDelay
 from gladewalk.upstream.work_items import HealthCheck
 
 from .http2_rehearsal import options_for
@@ -110,7 +110,7 @@
         self.exchange = RecordingExchange(self.events)
         self.counters = Counters()
         self.exchange.request_log = RequestLog(self.clock, self.counters)
-        self.rest = ConnectionRest()
+        self.rest = ReuseDelay()
         self.open_connections: set[Any] = set()
         self.idle: list[Any] = []
         self.pool, self.address, self.name, self.is_removed = self, ("127.0.0.1", 1), "c1", False
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,8 +12,8 @@
 from gladewalk.rehearsal.director_harness import wait_until
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
-from gladewalk.upstream.connection_rest import REST_MS
 from gladewalk.upstream.http1 import Http1Connection
+from gladewalk.upstream.reuse_delay import REUSE_DELAY_MS
 
 from .server_scripts import BYTES, half, hit, miss_then_fill, reset, running, silent
 
@@ -203,10 +203,10 @@
             rested.has_carried = fresh.has_carried = True
             server.release(rested)
             found = [server.acquire() is None]
-            await asyncio.sleep(REST_MS / 1000.0)
+            await asyncio.sleep(REUSE_DELAY_MS / 1000.0)
             server.release(fresh)
             found += [server.acquire() is rested, server.acquire() is None]
-            await asyncio.sleep(REST_MS / 1000.0)
+            await asyncio.sleep(REUSE_DELAY_MS / 1000.0)
             return [*found, server.acquire() is fresh]
 
     assert asyncio.run(story()) == [True, True, True, True]
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -11,7 +11,7 @@
 from gladewalk.rehearsal.director_harness import DirectorHarness, wait_until
 from gladewalk.rehearsal.http_messages import encode_message, encode_request, header_names, read_message
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
-from gladewalk.upstream.connection_rest import REST_MS
+from gladewalk.upstream.reuse_delay import REUSE_DELAY_MS
 
 from .server_scripts import running
 
@@ -19,7 +19,7 @@
 DELAYS_S = (0.0, 0.03, 0.08)  # of the server, for each answer
 LATENESSES_S = (0.0, 0.003, 0.01, 0.025, 0.045, 0.05)  # of the second answer behind the first
 PIECE_PAUSE_S = 0.005
-MAX_LATE_S = (REST_MS - 4.0) / 1000.0
+MAX_LATE_S = (REUSE_DELAY_MS - 4.0) / 1000.0
 MAX_PLAYS = 20  # of a case, until the machine lets its second answer come in time
 ON_NEXT_REQUEST_S = 0.05  # a second answer that waits for the server's next request is at most so late
 SLOW_CONNECT_S = 0.3
@@ -226,7 +226,7 @@
     """Which answers were another request's, in rounds at a server whose second answers outlast the rest."""
 
     async def story() -> tuple[list[bytes], int]:
-        server = DoublingServer(0.03, 1.5 * REST_MS / 1000.0, doubled=doubled, max_late_s=1.0)
+        server = DoublingServer(0.03, 1.5 * REUSE_DELAY_MS / 1000.0, doubled=doubled, max_late_s=1.0)
         async with running(ScriptedServer(server.script)) as (harness, director):
             bodies = [body for _ in range(ROUNDS) for body in await ask_in_turn(harness)]
             return bodies, director.counters["caches.surplus"]
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -14,7 +14,7 @@
 from gladewalk.rehearsal.director_harness import wait_until
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest
 from gladewalk.rehearsal.site_harness import SiteHarness, SiteResponse
-from gladewalk.upstream.connection_rest import REST_MS
+from gladewalk.upstream.reuse_delay import REUSE_DELAY_MS
 from gladewalk.web.passive_health import PassiveHealthCheck
 from gladewalk.web.start import load_routing
 
@@ -221,7 +221,7 @@
         async with SiteHarness(site_of(TWO_SERVERS % "")) as world:
             for n in range(6):
                 await world.send(b"GET /%d HTTP/1.1\r\nHost: example.com\r\n\r\n" % n)
-                await asyncio.sleep(REST_MS / 1000.0)
+                await asyncio.sleep(REUSE_DELAY_MS / 1000.0)
             self.assertLessEqual(sum(server.connections for server in world.servers.values()), 2)
 
 
