--- a/tests/server_scripts.py
+++ b/tests/server_scripts.py
@@ -26,11 +26,11 @@
         await request.answer(404)
 
 
-async def silent(request: ReceivedRequest) -> None:
+async def never_respond(request: ReceivedRequest) -> None:
     await asyncio.Event().wait()
 
 
-async def half(request: ReceivedRequest) -> None:
+async def reset_mid_body(request: ReceivedRequest) -> None:
     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + b"x" * 300)
     await request.writer.drain()
     request.writer.transport.abort()
@@ -50,7 +50,7 @@
         yield harness, harness.director
 
 
-def held_until(release: asyncio.Event) -> Http1Script:
+def hit_after(release: asyncio.Event) -> Http1Script:
     """A script that answers once `release` is set."""
 
     async def script(request: ReceivedRequest) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -13,7 +13,7 @@
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
 
-from .server_scripts import BYTES, held_until, hit, running
+from .server_scripts import BYTES, hit, hit_after, running
 
 
 class Clients(unittest.IsolatedAsyncioTestCase):
@@ -121,7 +121,7 @@
 
     async def test_the_id_of_an_open_request_serves_no_other_object(self) -> None:
         release = asyncio.Event()
-        cache = ScriptedServer(held_until(release))
+        cache = ScriptedServer(hit_after(release))
         async with running(cache) as (world, director):
             first = asyncio.create_task(world.fetch("/invoke/lot-page/a1"))
             await wait_until(lambda: len(cache.received) == 1)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -13,7 +13,7 @@
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 
-from .server_scripts import BYTES, held_until, hit, silent
+from .server_scripts import BYTES, hit, hit_after, never_respond
 
 HOUR_MS = 3_600_000.0
 STEPS = (HOUR_MS, -HOUR_MS, 5_000.0, -5_000.0)
@@ -52,7 +52,7 @@
 def test_an_answer_on_its_way_outlives_a_step(wall: SteppedTime, step_ms: float) -> None:
     async def story() -> tuple[int, bytes]:
         release = asyncio.Event()
-        async with open_request(ScriptedServer(held_until(release)), 3_000.0) as (_, reader):
+        async with open_request(ScriptedServer(hit_after(release)), 3_000.0) as (_, reader):
             wall.step_ms = step_ms
             await asyncio.sleep(0.3)
             release.set()
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("step_ms", STEPS)
 def test_a_request_to_a_silent_cache_gets_its_answer_in_time(wall: SteppedTime, step_ms: float) -> None:
     async def story() -> int:
-        async with open_request(ScriptedServer(silent), 400.0) as (_, reader):
+        async with open_request(ScriptedServer(never_respond), 400.0) as (_, reader):
             wall.step_ms = step_ms
             async with asyncio.timeout(0.4 + 0.5):
                 return (await read_message(reader)).status
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from gladewalk.rehearsal.scripted_servers import Http1Script, ReceivedRequest, ScriptedServer
 
 from .program import start_program
-from .server_scripts import BYTES, held_until, hit, running
+from .server_scripts import BYTES, hit, hit_after, running
 
 LARGE = bytes(range(256)) * 192  # more than small socket buffers hold, less than makes a writer wait
 
@@ -67,7 +67,7 @@
     async def asked_at_the_end(self, before: Callable[[Director, socket.socket], None]) -> None:
         """`before` is called in the moment in which the accepting time ends, with a client's socket."""
         release = asyncio.Event()
-        cache = ScriptedServer(held_until(release))
+        cache = ScriptedServer(hit_after(release))
         async with running(cache) as (_, director):
             client = socket.create_connection(director.front.address)
             before(director, client)
@@ -192,7 +192,7 @@
 
     async def test_a_client_that_leaves_is_seen_though_it_is_not_read(self) -> None:
         release = asyncio.Event()
-        cache = ScriptedServer(held_until(release))
+        cache = ScriptedServer(hit_after(release))
         async with running(cache) as (world, director):
             _, writer = await world.connect()
             for name in ("a1", "a2", "a3"):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
 from gladewalk.upstream.pool import RESERVED_DESCRIPTORS, UPSTREAM_DESCRIPTOR_FRACTION
 
-from .server_scripts import held_until
+from .server_scripts import hit_after
 
 SOCKETS = 256
 
@@ -23,7 +23,7 @@
     async def asyncSetUp(self) -> None:
         self.release = asyncio.Event()
         self.cache, self.coordinator = (
-            ScriptedServer(held_until(self.release), capacity=4000.0),
+            ScriptedServer(hit_after(self.release), capacity=4000.0),
             Coordinator(),
         )
         await self.coordinator.start()
--- a/tests/test_golden_exchange.py
+++ b/tests/test_golden_exchange.py
@@ -26,7 +26,7 @@
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 from gladewalk.upstream.http1 import encode_request as encode_attempt
 
-from .server_scripts import BYTES, half, hit, miss_then_fill, reset, silent
+from .server_scripts import BYTES, hit, miss_then_fill, never_respond, reset, reset_mid_body
 
 GOLDEN = Path(__file__).parent / "golden"
 NOW_MS = 1_764_576_000_000.0
@@ -215,8 +215,8 @@
     "200 and the last": (short, {}, [encode_request(PATH, Connection="close")]),
     "304": (unchanged, {}, [encode_request(PATH, If_None_Match='W/"4be0"')]),
     "refused": (hit, {"state": "DRAINING"}, [encode_request(PATH)]),
-    "failed": (silent, {}, [encode_request(PATH, wait_ms=150.0)]),
-    "cut": (half, {}, [encode_request(PATH)]),
+    "failed": (never_respond, {}, [encode_request(PATH, wait_ms=150.0)]),
+    "cut": (reset_mid_body, {}, [encode_request(PATH)]),
     "health": (hit, {}, [encode_request("/_health")]),
     "400 object": (hit, {}, [encode_request("/invoke/lot-page/xyz")]),
     "400 part": (hit, {}, [encode_request("/invoke/lot-page/a1?nth=-1")]),
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,7 +15,7 @@
 from gladewalk.upstream.http1 import Http1Connection
 from gladewalk.upstream.reuse_delay import REUSE_DELAY_MS
 
-from .server_scripts import BYTES, half, hit, miss_then_fill, reset, running, silent
+from .server_scripts import BYTES, hit, miss_then_fill, never_respond, reset, reset_mid_body, running
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 SPOILT_ANSWERS = {
@@ -102,7 +102,7 @@
         assert (status, fields["etag"], body) == (304, '"4be0"', b"")
 
     async def test_an_answer_that_breaks_off_is_seen_by_no_client(self) -> None:
-        cache = ScriptedServer(half)
+        cache = ScriptedServer(reset_mid_body)
         async with running(cache) as (world, director):
             status, _, body = await world.fetch()
             counters = director.counters
@@ -111,7 +111,7 @@
             assert director.exchange.response_budget.used_bytes == 0
 
     async def test_a_write_whose_answer_breaks_off_fails_and_is_not_sent_again(self) -> None:
-        cache, origin = ScriptedServer(half), ScriptedServer(half, "o", "origin", "north")
+        cache, origin = ScriptedServer(reset_mid_body), ScriptedServer(reset_mid_body, "o", "origin", "north")
         async with running(cache, origin) as (world, _):
             status, _, body = await world.fetch("/invoke/bid/b1", method="PUT", body=b"12 boxes")
         assert (status, body) == (502, b"")
@@ -148,12 +148,12 @@
         assert (status, fields["retry-after"]) == (503, "1")
 
     async def test_a_silent_cache_costs_no_request_its_final_answer(self) -> None:
-        async with running(ScriptedServer(silent)) as (world, _):
+        async with running(ScriptedServer(never_respond)) as (world, _):
             status, _, _ = await world.fetch(wait_ms=300.0)
         assert status == 502
 
     async def test_a_client_that_leaves_takes_its_attempt_with_it(self) -> None:
-        cache = ScriptedServer(silent)
+        cache = ScriptedServer(never_respond)
         async with running(cache) as (world, director):
             _, writer = await world.connect()
             writer.write(encode_request("/invoke/lot-video/a1"))
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -9,7 +9,7 @@
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 
-from .server_scripts import BYTES, held_until, hit, running
+from .server_scripts import BYTES, hit, hit_after, running
 
 LONGEST_MS = max(cls["give_up_ms"] for cls in SETTINGS["classes"])
 WHOLE = encode_request("/invoke/lot-video/a1", wait_ms=LONGEST_MS)
@@ -53,7 +53,7 @@
 class Stop(unittest.IsolatedAsyncioTestCase):
     async def test_who_has_more_patience_than_the_platform_has_an_answer_before_its_kill(self) -> None:
         held = asyncio.Event()
-        cache = ScriptedServer(held_until(held))
+        cache = ScriptedServer(hit_after(held))
         async with running(cache) as (world, director):
             reader, writer = await world.connect()
             writer.write(WHOLE)
