--- a/tests/golden_http2_client.py
+++ b/tests/golden_http2_client.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self.engine = H2Connection(H2Configuration(client_side=True, header_encoding="utf-8"))
-        self.said, self.over = b"", False
+        self.received_data, self.is_closed = b"", False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -22,19 +22,19 @@
         transport.write(self.engine.data_to_send())
 
     def data_received(self, data: bytes) -> None:
-        self.said += data
+        self.received_data += data
         try:
             events = self.engine.receive_data(data)
         except ProtocolError:
-            self.over = True
+            self.is_closed = True
             return
-        self.over = self.over or any(isinstance(event, ConnectionTerminated) for event in events)
+        self.is_closed = self.is_closed or any(isinstance(event, ConnectionTerminated) for event in events)
         self.transport.write(self.engine.data_to_send())
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.over = True
+        self.is_closed = True
 
-    def ask(self, ticket: str, path: str, body: bytes = b"") -> None:
+    def send_request(self, ticket: str, path: str, body: bytes = b"") -> None:
         stream = self.engine.get_next_available_stream_id()
         head = [(":method", "PUT" if body else "GET"), (":path", path), (":scheme", "http"),
                 (":authority", "app.svc"), ("x-ticket", ticket)]  # fmt: skip
--- a/tests/http2_rehearsal.py
+++ b/tests/http2_rehearsal.py
@@ -90,7 +90,7 @@
 
 
 @cache
-def authority() -> trustme.CA:
+def certificate_authority() -> trustme.CA:
     """The test certificates' CA."""
     return trustme.CA()
 
@@ -100,9 +100,9 @@
 ) -> ssl.SSLContext:
     """A server's TLS context with a certificate for these names; `client`: it asks for the client's."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    authority().issue_cert(*names).configure_cert(context)
+    certificate_authority().issue_cert(*names).configure_cert(context)
     context.set_alpn_protocols(list(alpn))
     if client:
-        authority().configure_trust(context)
+        certificate_authority().configure_trust(context)
         context.verify_mode = ssl.CERT_REQUIRED
     return context
--- a/tests/test_golden_rehearsal.py
+++ b/tests/test_golden_rehearsal.py
@@ -312,12 +312,12 @@
     assert isinstance(client, Http2Client)
     await asyncio.sleep(1.0)
     for number, path in enumerate(("/hit", "/same", "/reset", "/settings", "/else", "/go")):
-        client.ask(f"t{number}", path, b"bid" if path == "/settings" else b"")
+        client.send_request(f"t{number}", path, b"bid" if path == "/settings" else b"")
         await asyncio.sleep(1.0)
     box.stop()
     await asyncio.sleep(1.0)
     return {
-        "said": [len(client.said), digest(client.said), client.said[:100].hex()],
+        "said": [len(client.received_data), digest(client.received_data), client.received_data[:100].hex()],
         "target": box.target(),
         "ran": box.process_counts(),
         "heard": [[a.method, a.path, a.ticket, a.body.decode()] for a in box.received],
@@ -338,18 +338,18 @@
     box = await ScriptedHttp2Server(breaker, "c9", host="10.2.0.3").start()
     host, _, port = box.address.rpartition(":")
     client, said = Http2Client(), hashlib.sha256()
-    client.over = True
+    client.is_closed = True
     for number in range(120):
-        if client.over:
-            said.update(client.said)
+        if client.is_closed:
+            said.update(client.received_data)
             client = Http2Client()
             await loop.create_connection(lambda client=client: client, host, int(port))  # type: ignore[misc]
             await asyncio.sleep(0.01)
         with contextlib.suppress(ProtocolError):  # no stream is to be had now
-            client.ask(f"t{number}", "/a", b"bid" if number % 3 == 0 else b"")
+            client.send_request(f"t{number}", "/a", b"bid" if number % 3 == 0 else b"")
         await asyncio.sleep(0.003)
     await asyncio.sleep(1.0)
-    said.update(client.said)
+    said.update(client.received_data)
     return {
         "said": said.hexdigest(),
         "met": breaker.fault_counts,
--- a/tests/test_http2_tls.py
+++ b/tests/test_http2_tls.py
@@ -23,7 +23,7 @@
     BYTES,
     PATIENT_MS,
     async_test,
-    authority,
+    certificate_authority,
     counters_of,
     options_for,
     read,
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.ca = folder / "ca.pem"
-        authority().cert_pem.write_to_path(str(self.ca))
+        certificate_authority().cert_pem.write_to_path(str(self.ca))
 
     def options(self, **more: str) -> Options:
         return options_for("tls", {"ca": str(self.ca), "name": "{uid}.caches.example", **more})
@@ -79,7 +79,7 @@
 
 @async_test
 async def test_a_client_certificate_is_sent_where_it_is_set(tls: TlsFiles) -> None:
-    own = authority().issue_cert("director.example")
+    own = certificate_authority().issue_cert("director.example")
     own.private_key_pem.write_to_path(str(tls.folder / "key.pem"))
     own.cert_chain_pems[0].write_to_path(str(tls.folder / "own.pem"))
     with_certificate = tls.options(certificate=str(tls.folder / "own.pem"), key=str(tls.folder / "key.pem"))
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -17,7 +17,7 @@
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
-from tests.http2_rehearsal import authority
+from tests.http2_rehearsal import certificate_authority
 
 ROOT = Path(__file__).parent.parent
 BAD = {
@@ -103,7 +103,7 @@
     ],
 )
 def test_a_bad_file_at_the_start_is_one_line_and_exit_2(director: Director, text: str, why: str) -> None:
-    authority().cert_pem.write_to_path(str(director.folder / "ca.pem"))
+    certificate_authority().cert_pem.write_to_path(str(director.folder / "ca.pem"))
     (director.folder / "bad.pem").write_text("no key")
     exit_code, log = director.run("run", "--config", director.write_options(text))
     assert (exit_code, log.count("\n")) == (2, 1), log
