--- a/gladewalk/upstream/reuse_delay.py
+++ b/gladewalk/upstream/reuse_delay.py
@@ -16,7 +16,7 @@
 
 
 class ReuseDelay:
-    """The delay of one server's connections: `REUSE_DELAY_MS`, or more while later surplus bytes are known."""
+    """The delay of one server's connections: `REUSE_DELAY_MS`, or more once surplus bytes were later."""
 
     def __init__(self) -> None:
         self._learned_ms = REUSE_DELAY_MS
