--- a/gladewalk/members/actions.py
+++ b/gladewalk/members/actions.py
@@ -38,7 +38,7 @@
 
     RESPONDED = "here"
     REFUSED = "gone"  # no process listens there
-    SILENT = "silent"  # the system accepted the connection, the process did not answer in time
+    UNRESPONSIVE = "silent"  # the system accepted the connection, the process did not answer in time
     UNREACHABLE = "unreachable"
 
     @property
--- a/gladewalk/members/gossip_state.py
+++ b/gladewalk/members/gossip_state.py
@@ -96,7 +96,7 @@
         member.is_death_disputed = True
         if not self._suspicions.was_notified_recently(member, now_ms):
             self._suspicions.notify(member, now_ms)
-        if member.probe_outcome is ProbeOutcome.SILENT:  # it may have been killed since the probe
+        if member.probe_outcome is ProbeOutcome.UNRESPONSIVE:  # it may have been killed since the probe
             self._suspicions.probe(member, now_ms)
 
     def _add(self, update: MemberUpdate, now_ms: float) -> None:
--- a/gladewalk/members/stream.py
+++ b/gladewalk/members/stream.py
@@ -30,7 +30,7 @@
 )
 from .swim import Membership
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 LISTEN_BACKLOG = 1_024  # probes of a paused process wait with the system: as many as all members send
 EXCHANGE_SECONDS = 2.0  # for all of one synchronization, and for an answer to a probe
 MAX_SYNCS_SERVED = 16  # at a time: bounds memory and descriptors
@@ -121,7 +121,7 @@
                     writer,
                 ),
             ):
-                outcome = ProbeOutcome.SILENT
+                outcome = ProbeOutcome.UNRESPONSIVE
                 self._write(writer, probe.message)
                 answer = await self._read(reader)
                 if isinstance(answer, ConfirmationAck):
@@ -215,11 +215,11 @@
 
     def _write(self, writer: asyncio.StreamWriter, message: StreamMessage) -> None:
         signed = self._owner.sign(encode(message), MAX_STREAM_MESSAGE_BYTES)
-        writer.write(LENGTH.pack(len(signed)) + signed)
+        writer.write(LENGTH_PREFIX.pack(len(signed)) + signed)
 
     async def _read(self, reader: asyncio.StreamReader) -> StreamMessage:
         """Reads one message; raises `PeerDroppedError` for one that is not to be accepted."""
-        (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
+        (length,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
         if length > MAX_STREAM_MESSAGE_BYTES:
             raise PeerDroppedError(DropReason.OVERSIZED.value)
         verified = self._owner.verify(await reader.readexactly(length), MAX_STREAM_MESSAGE_BYTES)
--- a/gladewalk/members/suspicion.py
+++ b/gladewalk/members/suspicion.py
@@ -77,7 +77,10 @@
         return False
     if member.probe_outcome in (ProbeOutcome.REFUSED, ProbeOutcome.UNREACHABLE):
         return True
-    if member.probe_outcome is ProbeOutcome.SILENT and now_ms < member.state_since_ms + config.max_stall_ms:
+    if (
+        member.probe_outcome is ProbeOutcome.UNRESPONSIVE
+        and now_ms < member.state_since_ms + config.max_stall_ms
+    ):
         return False
     is_recent = now_ms < member.state_since_ms + config.min_suspicion_ms
     return not is_sender_unhealthy and not is_recent and member.last_heard_ms <= member.state_since_ms
@@ -92,7 +95,7 @@
     if member.is_probe_pending:
         return SuspicionDecision.WAIT, RETRY_MS
     stall_left_ms = member.state_since_ms + config.max_stall_ms - now_ms
-    if member.probe_outcome is ProbeOutcome.SILENT and stall_left_ms > 0.0:
+    if member.probe_outcome is ProbeOutcome.UNRESPONSIVE and stall_left_ms > 0.0:
         return SuspicionDecision.STALLED, min(stall_left_ms, STALL_REPROBE_MS)
     if member.probe_outcome is None:
         if member.is_death_disputed or may_probe(member, local_name, member_count):
--- a/gladewalk/rehearsal/member_network.py
+++ b/gladewalk/rehearsal/member_network.py
@@ -34,7 +34,7 @@
 from ..members.config import MembershipConfig
 from ..members.history import ObservedChange
 from ..members.messages import StreamMessage, UserEvent, decode, encode
-from ..members.stream import LENGTH
+from ..members.stream import LENGTH_PREFIX
 from ..members.swim import Membership
 
 START_MS = 1_764_576_000_000.0  # Unix time at which a simulation starts
@@ -294,7 +294,7 @@
         if not target.is_up:
             return ProbeOutcome.REFUSED
         is_paused = self.now_ms < target.paused_until_ms
-        return ProbeOutcome.SILENT if is_paused else ProbeOutcome.RESPONDED
+        return ProbeOutcome.UNRESPONSIVE if is_paused else ProbeOutcome.RESPONDED
 
     def finish_probe(
         self,
@@ -325,7 +325,7 @@
         self.carry_out(node, node.core.receive_streamed(ack, self.clock_of(node)))
 
     def _count(self, node: MemberNode, message: SomeStreamMessage) -> SomeStreamMessage:
-        self.sent_bytes[node.name] += LENGTH.size + len(encode(message)) + OVERHEAD_BYTES
+        self.sent_bytes[node.name] += LENGTH_PREFIX.size + len(encode(message)) + OVERHEAD_BYTES
         return message
 
     # What can be observed.
--- a/tests/test_golden_members.py
+++ b/tests/test_golden_members.py
@@ -42,7 +42,7 @@
     PingRequest,
     UserEvent,
 )
-from gladewalk.members.stream import LENGTH
+from gladewalk.members.stream import LENGTH_PREFIX
 from gladewalk.members.swim import Membership
 from gladewalk.members.transport import MembershipTransport
 from gladewalk.rehearsal.member_faults import play
@@ -108,7 +108,7 @@
         "datagram": datagram.hex(),
         "second": second.hex(),
         "rotated": rotated.hex(),
-        "stream": (LENGTH.pack(len(stream)) + stream).hex(),
+        "stream": (LENGTH_PREFIX.pack(len(stream)) + stream).hex(),
     }
 
 
@@ -301,8 +301,8 @@
     assert seal.verify(written["second"], NOW_MS) == messages.encode(DATAGRAMS["ack"])
     assert seal.verify(written["rotated"], NOW_MS) == messages.encode(DATAGRAMS["join"])
     assert seal.verify(written["datagram"], NOW_MS) is DropReason.REPLAYED
-    (length,) = LENGTH.unpack(written["stream"][: LENGTH.size])
-    stream = written["stream"][LENGTH.size :]
+    (length,) = LENGTH_PREFIX.unpack(written["stream"][: LENGTH_PREFIX.size])
+    stream = written["stream"][LENGTH_PREFIX.size :]
     assert length == len(stream)
     opened = seal.verify(stream, NOW_MS, 2**21)
     assert isinstance(opened, bytes) and messages.decode_streamed(opened) == STREAMED["full_state"]
--- a/tests/test_members_transport.py
+++ b/tests/test_members_transport.py
@@ -11,7 +11,7 @@
 from gladewalk.members.authenticator import MessageAuthenticator, key_from_secret
 from gladewalk.members.config import MembershipConfig
 from gladewalk.members.messages import Digest, UserEvent, encode
-from gladewalk.members.stream import LENGTH
+from gladewalk.members.stream import LENGTH_PREFIX
 from gladewalk.members.swim import Membership
 from gladewalk.members.transport import MembershipTransport
 from gladewalk.rehearsal.director_harness import wait_until
@@ -113,9 +113,9 @@
         good = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0).sign(digest, steady_ms(), 1)
         for data, why in (
             (b"\xff\xff\xff\xff", "oversized"),
-            (LENGTH.pack(4) + b"noise", "malformed"),
-            (LENGTH.pack(len(good)) + stranger.sign(digest, steady_ms(), 1), "unknown_key"),
-            (LENGTH.pack(len(good)) + bytes([*good[:-1], good[-1] ^ 1]), "forged"),
+            (LENGTH_PREFIX.pack(4) + b"noise", "malformed"),
+            (LENGTH_PREFIX.pack(len(good)) + stranger.sign(digest, steady_ms(), 1), "unknown_key"),
+            (LENGTH_PREFIX.pack(len(good)) + bytes([*good[:-1], good[-1] ^ 1]), "forged"),
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
             writer.write(data)
@@ -123,12 +123,12 @@
             assert member.counters[f"members.dropped.{why}"] == 1
             writer.close()
         reader, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
-        writer.write(LENGTH.pack(len(good)) + good)
+        writer.write(LENGTH_PREFIX.pack(len(good)) + good)
         assert len(await reader.read(4)) > 0
         writer.close()  # in the middle of an exchange
         await wait_until(lambda: member.counters["members.exchanges_broken"] == 1)
         again, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
-        writer.write(LENGTH.pack(len(good)) + good)  # somebody who has recorded it says it once more
+        writer.write(LENGTH_PREFIX.pack(len(good)) + good)  # somebody who has recorded it says it once more
         assert await again.read() == b""
         assert member.counters["members.dropped.replayed"] == 1
         writer.close()
