--- a/gladewalk/members/failure_detector.py
+++ b/gladewalk/members/failure_detector.py
@@ -92,7 +92,7 @@
         if pending is None:
             return
         member = context.members.by_name.get(pending.name)
-        if member is not None and member.last_heard_ms >= pending.sent_ms:
+        if member is not None and member.last_received_ms >= pending.sent_ms:
             context.local.health.worsen()  # it is heard: our ping or its answer was lost
             return
         # Helpers that did not even send a nack: our own messages may be what is lost (Lifeguard).
--- a/gladewalk/members/gossip_state.py
+++ b/gladewalk/members/gossip_state.py
@@ -122,7 +122,7 @@
         name = member.name
         match member.update.state:
             case MemberState.ALIVE if not was_live:
-                member.last_heard_ms = now_ms
+                member.last_received_ms = now_ms
                 self._report(MemberChange.JOINED, name)
             case MemberState.ALIVE if old_state is MemberState.SUSPECT:
                 self._report(MemberChange.CLEARED, name)
--- a/gladewalk/members/member_list.py
+++ b/gladewalk/members/member_list.py
@@ -25,7 +25,7 @@
 
     update: MemberUpdate
     state_since_ms: float
-    last_heard_ms: float  # a message came from the member itself
+    last_received_ms: float  # a message came from the member itself
     health_score: int = 0  # its own local health, as it reported last
     suspectors: set[str] = field(default_factory=set)  # members that suspect it
     suspicion_ends_ms: float = math.inf
@@ -136,7 +136,7 @@
         """Moves all times, after the local clock jumped or the process was stopped."""
         for member in self.by_name.values():
             member.state_since_ms += by_ms
-            member.last_heard_ms += by_ms
+            member.last_received_ms += by_ms
             member.suspicion_ends_ms += by_ms
 
     def _index(self, member: Member) -> None:
--- a/gladewalk/members/suspicion.py
+++ b/gladewalk/members/suspicion.py
@@ -83,14 +83,14 @@
     ):
         return False
     is_recent = now_ms < member.state_since_ms + config.min_suspicion_ms
-    return not is_sender_unhealthy and not is_recent and member.last_heard_ms <= member.state_since_ms
+    return not is_sender_unhealthy and not is_recent and member.last_received_ms <= member.state_since_ms
 
 
 def decide_expired_suspicion(
     member: Member, config: MembershipConfig, local_name: str, member_count: int, now_ms: float
 ) -> tuple[SuspicionDecision, float]:
     """Decides on a suspicion that has expired; returns the decision and ms until it is looked at again."""
-    if member.last_heard_ms > member.state_since_ms:
+    if member.last_received_ms > member.state_since_ms:
         return SuspicionDecision.NOTIFY, config.min_suspicion_ms
     if member.is_probe_pending:
         return SuspicionDecision.WAIT, RETRY_MS
--- a/gladewalk/members/suspicion_monitor.py
+++ b/gladewalk/members/suspicion_monitor.py
@@ -79,7 +79,7 @@
             return
         member.probe_outcome = outcome
         if outcome is ProbeOutcome.RESPONDED:
-            member.last_heard_ms = now_ms
+            member.last_received_ms = now_ms
         elif outcome is ProbeOutcome.REFUSED:
             duration_ms = min_duration_ms(
                 self._context.config, self._context.member_count, self._context.pings.round_trip_ms
--- a/gladewalk/members/swim.py
+++ b/gladewalk/members/swim.py
@@ -236,7 +236,7 @@
     def _note_sender(self, message: DatagramMessage, source: Address, now_ms: float) -> None:
         sender = self.members.by_name.get(message.sender)
         if sender is not None and sender.update.run_id == message.run_id:
-            sender.last_heard_ms, sender.health_score = now_ms, message.health_score
+            sender.last_received_ms, sender.health_score = now_ms, message.health_score
             if sender.update.state is MemberState.DEAD:
                 self._revive(sender, now_ms)
         elif sender is None and isinstance(message, Ping):  # it knows us, and we have forgotten it
--- a/gladewalk/members/transport.py
+++ b/gladewalk/members/transport.py
@@ -204,7 +204,7 @@
             incarnation=member.update.incarnation,
             accusers=sorted(member.suspectors),
             knocked=member.probe_outcome.value if member.probe_outcome else None,
-            heard_ms=round(self.clock() - member.last_heard_ms),
+            heard_ms=round(self.clock() - member.last_received_ms),
             health=self.core.health_score,
         )
 
