--- a/gladewalk/duties/runner.py
+++ b/gladewalk/duties/runner.py
@@ -1,7 +1,7 @@
 """Runs the periodic tasks that this director owns and shares findings with the other members.
 
 Ownership comes from `Ownership`, liveness from `Membership`. A type of task is one class with the interface
-of `PeriodicTask`; that is all it needs to be divided among directors, taken over and shared.
+of `TaskType`; that is all it needs to be divided among directors, taken over and shared.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         """Calls `call` at a Unix time in ms."""
 
 
-class PeriodicTask(Protocol):
+class TaskType(Protocol):
     """A type of task: which targets there are, how it is done, and what is learned from it."""
 
     kind: str  # part of the messages between members
@@ -59,17 +59,17 @@
 
 
 @dataclass(slots=True)
-class SharedTask:
+class SharedTaskType:
     """One type of task with this director's view of who owns which target."""
 
-    task: PeriodicTask
+    task_type: TaskType
     ownership: Ownership
     targets: frozenset[str] = frozenset()
 
     @property
     def wanted_per_second(self) -> float:
         """How often all members together should do it."""
-        return len(self.targets) * 1_000.0 / self.task.interval_ms
+        return len(self.targets) * 1_000.0 / self.task_type.interval_ms
 
 
 class TaskRunner:
@@ -82,7 +82,7 @@
     def __init__(
         self,
         peers: Peers,
-        tasks: Iterable[PeriodicTask],
+        tasks: Iterable[TaskType],
         clock: Callable[[], float],
         scheduler: Scheduler,
         counters: Counters,
@@ -94,7 +94,9 @@
         self.max_finding_age_ms = max_finding_age_ms
         self.rate_limit, self.stretch = HealthCheckRateLimit(checks_per_second, clock()), 1.0
         name = peers.core.local.name
-        self.shared = {task.kind: SharedTask(task, Ownership(name, task.interval_ms, rng)) for task in tasks}
+        self.task_types = {
+            task.kind: SharedTaskType(task, Ownership(name, task.interval_ms, rng)) for task in tasks
+        }
         peers.on_member_change, peers.on_event = self.handle_member_change, self.handle_event
         self.has_membership_changed = True  # since the last sweep: a fleet that joins is one change
         self._alone_until_ms = clock() + (JOIN_TIMEOUT_MS if peers.core.seeds else 0.0)
@@ -118,13 +120,13 @@
         if self.peers.core.is_active:
             self.has_membership_changed = True
             return
-        for shared in self.shared.values():  # another director has this one's name: it owns nothing
+        for shared in self.task_types.values():  # another director has this one's name: it owns nothing
             shared.ownership.owned.clear()
 
     def handle_event(self, event: UserEvent) -> None:
         """Handles another member's claim, or its finding."""
         kind, _, target = event.task.partition("/")
-        shared, now_ms = self.shared.get(kind), self.clock()
+        shared, now_ms = self.task_types.get(kind), self.clock()
         if shared is None or target not in shared.targets:
             return
         claim = OwnershipClaim(event.epoch, event.owner)
@@ -132,24 +134,26 @@
             return self.counters.add("duties.older_epoch")
         self._announce_claims(shared)
         if event.status:
-            self._record_finding(shared.task, target, event, now_ms)
+            self._record_finding(shared.task_type, target, event, now_ms)
 
     def owned_tasks(self) -> list[str]:
         """Returns the tasks that this director owns as `kind/target`, sorted."""
         return sorted(
-            f"{kind}/{target}" for kind, shared in self.shared.items() for target in shared.ownership.owned
+            f"{kind}/{target}"
+            for kind, shared in self.task_types.items()
+            for target in shared.ownership.owned
         )
 
     def _update_members(self, now_ms: float) -> None:
         if not (self.has_membership_changed and self.peers.core.is_active):
             return
         self.has_membership_changed, weights = False, self.peers.core.responsive_weights()
-        for shared in self.shared.values():
+        for shared in self.task_types.values():
             shared.ownership.set_members(weights, now_ms)
 
     def _update_targets(self, now_ms: float) -> None:
-        for kind, shared in self.shared.items():
-            targets = frozenset(shared.task.targets())
+        for kind, shared in self.task_types.items():
+            targets = frozenset(shared.task_type.targets())
             # Identity first: comparing thousands of names twenty times a second costs.
             if targets is shared.targets or targets == shared.targets:
                 continue
@@ -159,19 +163,19 @@
             shared.ownership.set_tasks(targets, now_ms)
 
     def _perform_due(self, now_ms: float) -> None:
-        wanted_per_second = sum(shared.wanted_per_second for shared in self.shared.values())
+        wanted_per_second = sum(shared.wanted_per_second for shared in self.task_types.values())
         self.stretch = self.rate_limit.interval_stretch(wanted_per_second)
-        for shared in self.shared.values():
-            shared.ownership.interval_ms = shared.task.interval_ms * self.stretch
+        for shared in self.task_types.values():
+            shared.ownership.interval_ms = shared.task_type.interval_ms * self.stretch
             if not self.peers.core.is_active:  # another director has this one's name
                 continue
             self._announce_claims(shared)
             due = shared.ownership.take_due(now_ms, self.rate_limit.allowance(now_ms))
             self.rate_limit.spend(len(due))
             for target, claim in due:
-                self._perform(shared.task, target, claim)
+                self._perform(shared.task_type, target, claim)
 
-    def _perform(self, task: PeriodicTask, target: str, claim: OwnershipClaim) -> None:
+    def _perform(self, task: TaskType, target: str, claim: OwnershipClaim) -> None:
         started_ms = self.clock()
         self.counters.add("duties.done")
 
@@ -185,7 +189,7 @@
 
         task.perform(target, on_result)
 
-    def _record_finding(self, task: PeriodicTask, target: str, event: UserEvent, now_ms: float) -> None:
+    def _record_finding(self, task: TaskType, target: str, event: UserEvent, now_ms: float) -> None:
         # A finding that is old, or of a clock that is off, says nothing of now.
         if abs(now_ms - event.executed_at_ms) > self.max_finding_age_ms:
             return self.counters.add("duties.too_old")
@@ -197,7 +201,9 @@
         age_ms = max(0.0, now_ms - event.executed_at_ms)
         task.record_result(api.HealthCheckResult(target, status, event.duration_ms, event.load, age_ms))
 
-    def _announce_claims(self, shared: SharedTask) -> None:
+    def _announce_claims(self, shared: SharedTaskType) -> None:
         for target, claim in shared.ownership.take_new_claims():
             self.counters.add("duties.claims")
-            self.peers.publish_event(UserEvent(f"{shared.task.kind}/{target}", claim.owner, claim.epoch, 0.0))
+            self.peers.publish_event(
+                UserEvent(f"{shared.task_type.kind}/{target}", claim.owner, claim.epoch, 0.0)
+            )
--- a/gladewalk/duties/start.py
+++ b/gladewalk/duties/start.py
@@ -17,7 +17,7 @@
 from ..members.swim import Membership
 from ..members.transport import MembershipTransport, Network
 from ..upstream.pool import ConnectionPool
-from .runner import PeriodicTask, TaskRunner
+from .runner import TaskType, TaskRunner
 from .task_types import CacheHealthCheck, SourceHealthCheck
 
 PING_TIMEOUT_PERIODS = 0.4  # of a protocol period
@@ -84,7 +84,7 @@
     members = MembershipTransport(
         core, settings.authenticator, settings.networks, clock, deadlines, counters, settings.dial_addresses
     )
-    tasks: list[PeriodicTask] = []
+    tasks: list[TaskType] = []
     if duties.cache_check_interval_ms:
         tasks.append(CacheHealthCheck(exchange, pool, duties.cache_check_interval_ms))
     if duties.source_check_interval_ms:
--- a/gladewalk/duties/view.py
+++ b/gladewalk/duties/view.py
@@ -21,7 +21,7 @@
         interval_stretch=round(runner.stretch, 3),
         members=sorted(members, key=lambda member: member.name),
         owned_tasks=sorted(_owned_tasks(runner), key=lambda owned: owned.task),
-        task_counts={kind: len(shared.targets) for kind, shared in runner.shared.items()},
+        task_counts={kind: len(shared.targets) for kind, shared in runner.task_types.items()},
         counters={
             name: count for name, count in runner.counters.report().items() if name.startswith(SHOWN_COUNTERS)
         },
@@ -31,7 +31,7 @@
 def _owner_counts(runner: TaskRunner) -> Counter[str]:
     """Counts the tasks of each member, by the best claims that are known here."""
     counts: Counter[str] = Counter()
-    for shared in runner.shared.values():
+    for shared in runner.task_types.values():
         counts.update(claim.owner for claim in shared.ownership.best_claims.values())
     return counts
 
@@ -80,6 +80,6 @@
     now_ms = runner.clock()
     return [
         OwnedTaskStatus(f"{kind}/{target}", owned.claim.epoch, round(owned.due_ms - now_ms, 1))
-        for kind, shared in runner.shared.items()
+        for kind, shared in runner.task_types.items()
         for target, owned in shared.ownership.owned.items()
     ]
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -164,7 +164,7 @@
             self.checks_per_second,
         )
         if self.ranks is not None:
-            for shared in runner.shared.values():
+            for shared in runner.task_types.values():
                 shared.ownership.best_rank = self.ranks.best_rank
         self.runners[name] = runner
         runner.sweep()
@@ -175,7 +175,7 @@
         return [
             name
             for name, runner in self.runners.items()
-            if self.nodes[name].is_up and server in runner.shared[CHECK_KIND].ownership.owned
+            if self.nodes[name].is_up and server in runner.task_types[CHECK_KIND].ownership.owned
         ]
 
     def is_divided(self) -> bool:
--- a/tests/test_duties_directors.py
+++ b/tests/test_duties_directors.py
@@ -135,7 +135,7 @@
         assert lost.members is not None
         lost.members.close()  # it says no more; its share is to be taken over
         self.silent = lost
-        runner_of(lost).shared.clear()
+        runner_of(lost).task_types.clear()
         rest = [runner for runner in runners if runner is not runner_of(lost)]
         await wait_until(lambda: owned_by(rest) == EVERY_TASK)
         self.checks.clear()
