--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -107,7 +107,7 @@
         name, clock, deadlines, counters = config.name, self.clock, self.deadlines, self.counters
         purge_settle_ms = config.settings.purge_settle_ms
         self.dns = parts.build_dns(dns, self.exchange, counters, self._alpn_of)
-        self.members, self.duties = parts.build_members(
+        self.members, self.task_runner = parts.build_members(
             name, options, self.exchange, self.connection_pool, deadlines, counters
         )
         self.web = parts.build_web(options, config, clock, deadlines, counters, self._log_module_line)
@@ -117,7 +117,7 @@
         self.leases = parts.build_leases(
             name, options, self.persistence, clock, self.endpoint_feed.instants, deadlines, counters
         )
-        self.control = parts.build_control(options, counters, self.duties, self.persistence, self.leases)
+        self.control = parts.build_control(options, counters, self.task_runner, self.persistence, self.leases)
 
     # Start and run.
 
@@ -148,9 +148,9 @@
         if self.dns is not None:
             self.dns.processor.own_port = self.front.address[1]
             await self.dns.listen()
-        if self.members is not None and self.duties is not None:
+        if self.members is not None and self.task_runner is not None:
             await self.members.listen()
-            self.duties.sweep()
+            self.task_runner.sweep()
         if self.leases is not None:
             leases, address = self.leases
             await leases.listen(address)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -127,8 +127,8 @@
         boxes = [ScriptedServer(answer, f"c{n}") for n in range(3)]
         async with DirectorHarness(boxes, options=build_options(tables, "t", folder)) as world:
             director = world.director
-            assert director is not None and director.duties is not None and director.members is not None
-            duties = director.duties
+            assert director is not None and director.task_runner is not None and director.members is not None
+            duties = director.task_runner
             await wait_until(lambda: len(duties.owned_tasks()) == 3)
 
             def run(*words: str) -> tuple[int, str]:
--- a/tests/test_duties_directors.py
+++ b/tests/test_duties_directors.py
@@ -34,8 +34,8 @@
 
 
 def runner_of(director: Director) -> TaskRunner:
-    assert director.duties is not None
-    return director.duties
+    assert director.task_runner is not None
+    return director.task_runner
 
 
 def owned_by(runners: list[TaskRunner]) -> list[str]:
