--- a/gladewalk/duties/start.py
+++ b/gladewalk/duties/start.py
@@ -17,7 +17,7 @@
 from ..members.swim import Membership
 from ..members.transport import MembershipTransport, Network
 from ..upstream.pool import ConnectionPool
-from .runner import TaskType, TaskRunner
+from .runner import TaskRunner, TaskType
 from .task_types import CacheHealthCheck, SourceHealthCheck
 
 PING_TIMEOUT_PERIODS = 0.4  # of a protocol period
