--- a/gladewalk/cli/terminal_output.py
+++ b/gladewalk/cli/terminal_output.py
@@ -67,7 +67,7 @@
             str(member.health_score or ""),
             f"{member.weight:g}",
             str(member.task_count),
-            "" if member.state == "self" else format_duration(member.since_received_ms),
+            "" if member.state == "self" else format_duration(member.since_heard_ms),
         )
     return table
 
--- a/gladewalk/duties/status.py
+++ b/gladewalk/duties/status.py
@@ -11,7 +11,7 @@
     kw_only=True,
     rename={
         "run_id": "run",
-        "since_received_ms": "heard_ms",
+        "since_heard_ms": "heard_ms",
         "task_count": "duties",
         "health_score": "health",
         "is_stalled": "stalled",
@@ -27,7 +27,7 @@
         incarnation: Its latest incarnation number (Das et al., 2002).
         run_id: Tells one run of its process from another.
         weight: Its part of the tasks, relative to the other members.
-        since_received_ms: Time since it was last heard of; 0 for the director itself.
+        since_heard_ms: Time since it was last heard of; 0 for the director itself.
         task_count: Tasks that it owns, by the best claims known.
         health_score: Its local health score (Lifeguard); 0 is healthy.
         is_stalled: It was heard of, but for a long time does nothing.
@@ -40,7 +40,7 @@
     incarnation: int
     run_id: int
     weight: float
-    since_received_ms: float
+    since_heard_ms: float
     task_count: int
     health_score: int
     is_stalled: bool
