--- a/gladewalk/members/gossip_state.py
+++ b/gladewalk/members/gossip_state.py
@@ -96,7 +96,7 @@
         member.is_death_disputed = True
         if not self._suspicions.was_notified_recently(member, now_ms):
             self._suspicions.notify(member, now_ms)
-        if member.probe_outcome is ProbeOutcome.SILENT:  # it may have been killed since the probe
+        if member.probe_outcome is ProbeOutcome.UNRESPONSIVE:  # it may have been killed since the probe
             self._suspicions.probe(member, now_ms)
 
     def _add(self, update: MemberUpdate, now_ms: float) -> None:
@@ -122,7 +122,7 @@
         name = member.name
         match member.update.state:
             case MemberState.ALIVE if not was_live:
-                member.last_heard_ms = now_ms
+                member.last_received_ms = now_ms
                 self._report(MemberChange.JOINED, name)
             case MemberState.ALIVE if old_state is MemberState.SUSPECT:
                 self._report(MemberChange.CLEARED, name)
