--- a/gladewalk/cli/common.py
+++ b/gladewalk/cli/common.py
@@ -116,7 +116,7 @@
         options = load_options(self.options_path)
         if options.control is None:
             raise ConfigError(f"{self.options_path}: control.socket: is missing")
-        return options.file(options.control.socket)
+        return options.resolve_path(options.control.socket)
 
 
 def queries_director(command: Callable[..., None]) -> Callable[..., None]:
--- a/gladewalk/config/options.py
+++ b/gladewalk/config/options.py
@@ -46,7 +46,7 @@
     front: FrontOptions
     store: StoreOptions | None
 
-    def file(self, name: str) -> Path:
+    def resolve_path(self, name: str) -> Path:
         """Resolves a path that the file names."""
         return self.folder / name
 
--- a/gladewalk/daemon.py
+++ b/gladewalk/daemon.py
@@ -110,7 +110,7 @@
         from .control.server import check_socket_path
 
         try:
-            check_socket_path(options.file(options.control.socket))
+            check_socket_path(options.resolve_path(options.control.socket))
         except ConfigError as error:
             raise ConfigError(f"{options.path}: {error}") from error
 
--- a/gladewalk/duties/start.py
+++ b/gladewalk/duties/start.py
@@ -52,7 +52,7 @@
         }
     except (ConfigError, ValueError) as error:
         raise ConfigError(f"{options.path}: members.{key}: {error}") from error
-    key_ring = load_key_ring(options.file(table.keys))
+    key_ring = load_key_ring(options.resolve_path(table.keys))
     authenticator = MessageAuthenticator(key_ring, table.max_clock_skew_ms)
     return MemberSettings(listen, seeds, networks, authenticator, dial_addresses)
 
--- a/gladewalk/leases/start.py
+++ b/gladewalk/leases/start.py
@@ -151,7 +151,7 @@
     """
     table, settings = options.leases, read_lease_settings(options, name)
     assert table is not None
-    key_ring = load_key_ring(options.file(table.keys))
+    key_ring = load_key_ring(options.resolve_path(table.keys))
     authenticator = MessageAuthenticator(key_ring, table.max_clock_skew_ms)
     clock = LeaseClock(table.clock_rate)
     rng = random.Random(random.SystemRandom().getrandbits(64))
--- a/gladewalk/optional_parts.py
+++ b/gladewalk/optional_parts.py
@@ -140,7 +140,7 @@
         return None
     from .control.server import ControlServer
 
-    control = ControlServer(options.file(options.control.socket), counters)
+    control = ControlServer(options.resolve_path(options.control.socket), counters)
     if duties is not None:
         from .duties.view import membership_status
 
@@ -167,7 +167,7 @@
         return ()
     from .members.authenticator import load_key_ring
 
-    return load_key_ring(options.file(options.members.keys))
+    return load_key_ring(options.resolve_path(options.members.keys))
 
 
 def load_router(options: Options) -> Router | None:
--- a/gladewalk/store/persistence.py
+++ b/gladewalk/store/persistence.py
@@ -52,7 +52,7 @@
         self._snapshot_interval_ms, self._partition = table.snapshot_interval_ms, -1
         self._is_resumed, self._position = table.resumes_feed, FeedPosition(0)
         self._has_lost_row = False  # the disk rejected a row of the feed, so its position stands still
-        path = options.file(table.folder)
+        path = options.resolve_path(table.folder)
         try:
             self.directory = StoreDirectory(path)
             config = LogConfig(table.segment_bytes, table.max_bytes)
--- a/gladewalk/upstream/connection_factory.py
+++ b/gladewalk/upstream/connection_factory.py
@@ -55,11 +55,13 @@
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     key = "tls.ca"
     try:
-        context.load_verify_locations(options.file(tls.ca))
+        context.load_verify_locations(options.resolve_path(tls.ca))
         if tls.certificate:
             key = "tls.certificate"
             # An empty passphrase, as a daemon must not prompt for one on its terminal.
-            context.load_cert_chain(options.file(tls.certificate), options.file(tls.key), password="")
+            context.load_cert_chain(
+                options.resolve_path(tls.certificate), options.resolve_path(tls.key), password=""
+            )
     except (OSError, ValueError) as error:  # SSLError is an OSError
         reason = getattr(error, "strerror", None) or str(error)
         raise ConfigError(f"{options.path}: {key}: cannot be used: {reason}") from error
--- a/gladewalk/web/start.py
+++ b/gladewalk/web/start.py
@@ -34,7 +34,7 @@
     """
     table = options.front.http
     assert table is not None
-    site_path = options.file(table.site)
+    site_path = options.resolve_path(table.site)
     try:
         router = Router(load_site(site_path))
     except RoutingTableError as error:
