--- a/gladewalk/config/options.py
+++ b/gladewalk/config/options.py
@@ -21,7 +21,7 @@
     TlsOptions,
 )
 from .platform import ConfigError
-from .toml_file import errors_in, load_toml
+from .toml_file import load_toml, prefix_config_errors
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,7 +58,7 @@
         ConfigError: It cannot be used; one line, `file: table.key: why`.
     """
     tables = load_toml(path, OptionTables)
-    with errors_in(path):
+    with prefix_config_errors(path):
         check_tables(tables)
     return build_options(tables, path, Path(path).parent)
 
--- a/gladewalk/config/toml_file.py
+++ b/gladewalk/config/toml_file.py
@@ -15,7 +15,7 @@
 
 TableT = TypeVar("TableT", bound=msgspec.Struct)
 
-SYNTAX_NOTE = "not valid TOML: "
+SYNTAX_ERROR_PREFIX = "not valid TOML: "
 
 # The texts of msgspec's ValidationError.
 WHERE_PATTERN = re.compile(r" - at `\$\.?(.*)`\Z")
@@ -23,13 +23,15 @@
 MISSING_FIELD_PATTERN = re.compile(r"Object missing required field `(.*)`\Z")
 
 
-def load_toml(path: str | Path, table: type[TableT], syntax_note: str = SYNTAX_NOTE) -> TableT:
+def load_toml(
+    path: str | Path, table: type[TableT], syntax_error_prefix: str = SYNTAX_ERROR_PREFIX
+) -> TableT:
     """Reads a file into a table.
 
     Args:
         path: The file.
         table: The type to convert to.
-        syntax_note: What stands before the parser's own words if the file is no TOML.
+        syntax_error_prefix: What stands before the parser's own words if the file is no TOML.
 
     Raises:
         ConfigError: The file cannot be read, is no TOML, or does not convert.
@@ -39,11 +41,13 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from error
     except UnicodeDecodeError as error:
-        raise ConfigError(f"{path}: {syntax_note}{error}") from error
-    return parse_toml(text, table, path, syntax_note)
+        raise ConfigError(f"{path}: {syntax_error_prefix}{error}") from error
+    return parse_toml(text, table, path, syntax_error_prefix)
 
 
-def parse_toml(text: str, table: type[TableT], path: str | Path, syntax_note: str = SYNTAX_NOTE) -> TableT:
+def parse_toml(
+    text: str, table: type[TableT], path: str | Path, syntax_error_prefix: str = SYNTAX_ERROR_PREFIX
+) -> TableT:
     """Converts the text of a file to a table; `path` begins the line of an error.
 
     Raises:
@@ -54,11 +58,11 @@
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: {describe_error(error)}") from error
     except tomllib.TOMLDecodeError as error:
-        raise ConfigError(f"{path}: {syntax_note}{error}") from error
+        raise ConfigError(f"{path}: {syntax_error_prefix}{error}") from error
 
 
 @contextmanager
-def errors_in(path: str | Path) -> Iterator[None]:
+def prefix_config_errors(path: str | Path) -> Iterator[None]:
     """Prefixes the file's path to the text of any `ConfigError` that the block raises."""
     try:
         yield
--- a/gladewalk/dns/settings.py
+++ b/gladewalk/dns/settings.py
@@ -165,7 +165,7 @@
     Raises:
         ConfigError: The file or a value in it cannot be used.
     """
-    table = load_toml(path, DnsOptions, syntax_note="")
+    table = load_toml(path, DnsOptions, syntax_error_prefix="")
     return read_dns(table, own_host, Path(path).parent, path + ": dns")
 
 
--- a/gladewalk/rehearsal/virtual/scenario.py
+++ b/gladewalk/rehearsal/virtual/scenario.py
@@ -32,7 +32,7 @@
 from msgspec import Meta
 
 from ...config.platform import ConfigError
-from ...config.toml_file import errors_in, load_toml
+from ...config.toml_file import load_toml, prefix_config_errors
 
 GROUP_COUNT = 256  # purge groups
 DEFAULT_CLASS_SHARES = {"lot-video": 0.5, "lot-page": 0.45, "bid": 0.05}
@@ -160,8 +160,8 @@
     Raises:
         ConfigError: The scenario cannot be played; the text is one line, `file: key: why`.
     """
-    scenario = load_toml(path, Scenario, syntax_note="")
-    with errors_in(path):
+    scenario = load_toml(path, Scenario, syntax_error_prefix="")
+    with prefix_config_errors(path):
         check_scenario(scenario, class_names)
     return scenario
 
