--- a/gladewalk/config/policy_settings.py
+++ b/gladewalk/config/policy_settings.py
@@ -29,7 +29,7 @@
 }
 LOAD_REPORTING_BY_NAME = {
     "silent": api.LoadReporting.NONE,
-    "piggyback": api.LoadReporting.IN_ANSWERS,
+    "piggyback": api.LoadReporting.IN_RESPONSES,
     "pull": api.LoadReporting.IN_HEALTH_CHECKS,
 }
 OUTCOME_DETAILS = (
--- a/gladewalk/interface/__init__.py
+++ b/gladewalk/interface/__init__.py
@@ -22,7 +22,7 @@
     Watch,
 )
 from .events import (
-    SOURCE_ANSWERED,
+    SOURCE_RESPONSE_DETAILS,
     ClientDisconnected,
     EndpointList,
     EndpointListKind,
@@ -53,7 +53,7 @@
 )
 
 __all__ = [
-    "SOURCE_ANSWERED",
+    "SOURCE_RESPONSE_DETAILS",
     "Action",
     "Cancel",
     "ClientDisconnected",
--- a/gladewalk/interface/events.py
+++ b/gladewalk/interface/events.py
@@ -65,7 +65,11 @@
 
 
 # Details that only the source itself can have given.
-SOURCE_ANSWERED = (OutcomeDetail.SOURCE_LACKS, OutcomeDetail.SOURCE_REJECTED, OutcomeDetail.ORIGIN_FAILED)
+SOURCE_RESPONSE_DETAILS = (
+    OutcomeDetail.SOURCE_LACKS,
+    OutcomeDetail.SOURCE_REJECTED,
+    OutcomeDetail.ORIGIN_FAILED,
+)
 
 
 @dataclass(slots=True, frozen=True)
--- a/gladewalk/interface/settings.py
+++ b/gladewalk/interface/settings.py
@@ -44,7 +44,7 @@
     """How caches report their load."""
 
     NONE = "none"
-    IN_ANSWERS = "in_answers"
+    IN_RESPONSES = "in_answers"
     IN_HEALTH_CHECKS = "in_health_checks"
 
 
--- a/gladewalk/limits/backoff.py
+++ b/gladewalk/limits/backoff.py
@@ -19,9 +19,9 @@
     return min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**doublings)
 
 
-def silence_ms(answer_gap_ms: float, in_flight: int) -> float:
+def silence_ms(response_gap_ms: float, in_flight: int) -> float:
     """Time without an answer that counts as a failure; a single attempt gets twice it."""
-    return max(SILENCE_MS, SILENCE_GAPS * answer_gap_ms) * (1.0 if in_flight > 1 else 2.0)
+    return max(SILENCE_MS, SILENCE_GAPS * response_gap_ms) * (1.0 if in_flight > 1 else 2.0)
 
 
 def decrease_quota(quota: float) -> float:
--- a/gladewalk/policy/health.py
+++ b/gladewalk/policy/health.py
@@ -69,7 +69,7 @@
         if not server.attempts or now_ms < server.backoff_until_ms:
             return False
         quiet_ms = now_ms - max(next(iter(server.attempts.values())), server.last_answer_ms)
-        if quiet_ms <= silence_ms(server.answer_gap_ms, len(server.attempts)):
+        if quiet_ms <= silence_ms(server.response_gap_ms, len(server.attempts)):
             return False
         server.consecutive_failures += 1  # a silence has lasted: it needs no second one
         server.fill_quota = decrease_quota(server.fill_quota)
--- a/gladewalk/registry/outcome_recorder.py
+++ b/gladewalk/registry/outcome_recorder.py
@@ -98,7 +98,7 @@
         self, outcome: api.Outcome, pending: PendingRequest, source: ServerRecord
     ) -> None:
         status, detail = outcome.status, outcome.detail
-        if status is Status.MISS or detail in api.SOURCE_ANSWERED:
+        if status is Status.MISS or detail in api.SOURCE_RESPONSE_DETAILS:
             source.record_answer(self._state.now_ms)
         if detail is OutcomeDetail.SOURCE_LACKS or status is Status.MISS:
             self._state.locations.remove(pending.object_id, source.info.name)
--- a/gladewalk/registry/records.py
+++ b/gladewalk/registry/records.py
@@ -40,7 +40,7 @@
         self.weight = 1.0  # factor on its capacity in the rendezvous hash
         self.backoff_until_ms = self.last_sent_ms = self.last_answer_ms = 0.0
         self.spare_capacity_until_ms = 0.0  # until then a load report says that its link is not full
-        self.answer_gap_ms = INITIAL_ANSWER_GAP_MS  # moving average of the time between answers
+        self.response_gap_ms = INITIAL_ANSWER_GAP_MS  # moving average of the time between answers
         self.started_ms = info.started_ms  # last start of its process, listed or inferred
         self.slow_start_budget = SlowStartBudget()
         self.concurrency_limit = ConcurrencyLimit()
@@ -49,7 +49,7 @@
         """The server has answered, whatever it said: its backoff ends."""
         if self.last_answer_ms:
             gap_ms = min(now_ms - self.last_answer_ms, MAX_ANSWER_GAP_MS)
-            self.answer_gap_ms += ANSWER_GAP_EWMA_ALPHA * (gap_ms - self.answer_gap_ms)
+            self.response_gap_ms += ANSWER_GAP_EWMA_ALPHA * (gap_ms - self.response_gap_ms)
         self.last_answer_ms = now_ms
         self.consecutive_failures, self.backoff_until_ms = 0, 0.0
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -312,7 +312,7 @@
 def test_where_no_second_copy_may_be_out_a_silent_box_s_work_is_called_off_and_sent_anew() -> None:
     world = World(hedging=False)
     (first,) = world.ask(1)
-    world.servers[first.server].answer_gap_ms = 50.0
+    world.servers[first.server].response_gap_ms = 50.0
     assert swept(world) == [api.Cancel(first.id, 0)]
     (again,) = world.end(first, api.Status.CANCELLED)
     assert again.id == first.id and again.server != first.server
@@ -321,7 +321,7 @@
 def test_a_silent_source_is_called_off_and_its_box_asked_again_by_another_way() -> None:
     world = World(hedging=False)
     fill = world.fill(1)
-    world.servers[fill.source].answer_gap_ms = 50.0
+    world.servers[fill.source].response_gap_ms = 50.0
     (cancel,) = swept(world)
     (again,) = world.end(fill, api.Status.CANCELLED, cancel.attempt)
     assert again.server == fill.server and again.source != fill.source
