--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,7 +15,7 @@
 from gladewalk.rehearsal.http_messages import encode_request
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 
-from .world import CACHES, ORIGIN, PAGE, PARENTS, World, finals
+from .world import CACHES, ORIGIN, PAGE, PARENTS, DispatcherEnvironment, final_answers
 
 OK, ERROR, REFUSED = api.Status.OK, api.Status.ERROR, api.Status.REJECTED
 KEYED = replace(
@@ -31,26 +31,31 @@
 SILENT: dict[str, Any] = {"capacities_listed": False, "infers_capacity": True, **TOLD_LINK}
 
 
-def silent_world(**more: Any) -> World:
-    return World((*BARE, *PARENTS, ORIGIN), **SILENT, **more)
+def silent_world(**more: Any) -> DispatcherEnvironment:
+    return DispatcherEnvironment((*BARE, *PARENTS, ORIGIN), **SILENT, **more)
 
 
 # Overload without a report.
 
 
-def sent_at_once(world: World, requests: int) -> int:
-    actions = [a for key in range(requests) for a in world.ask(key)]
+def sent_at_once(world: DispatcherEnvironment, requests: int) -> int:
+    actions = [a for key in range(requests) for a in world.send_request(key)]
     assert len(actions) == requests
     return sum(isinstance(a, api.Lookup | api.Fetch) for a in actions)
 
 
 def test_boxes_of_which_nothing_is_told_are_not_filled_past_what_meets_the_aim() -> None:
     assert (
-        sent_at_once(World((*BARE, *PARENTS, ORIGIN), capacities_listed=False, may_bypass_caches=False), 400)
+        sent_at_once(
+            DispatcherEnvironment(
+                (*BARE, *PARENTS, ORIGIN), capacities_listed=False, may_bypass_caches=False
+            ),
+            400,
+        )
         == 400
     )
     silent = sent_at_once(silent_world(may_bypass_caches=False), 400)
-    told = sent_at_once(World((*CACHES, *PARENTS, ORIGIN), may_bypass_caches=False), 400)
+    told = sent_at_once(DispatcherEnvironment((*CACHES, *PARENTS, ORIGIN), may_bypass_caches=False), 400)
     assert abs(silent - told) <= 3 and silent < 150  # the guess is what a list would tell
 
 
@@ -59,18 +64,18 @@
         """What is sent at once, after twelve transfers at a time shared links of so much room."""
         world = silent_world(may_bypass_caches=False)
         for key in range(100):  # alone, a transfer takes 100 ms
-            (sent,) = world.ask(key)
-            world.end(sent, OK, detail=api.OutcomeDetail.HIT, after_ms=100.0)
-        out = [sent for key in range(12) for sent in world.ask(key)]
+            (sent,) = world.send_request(key)
+            world.end_attempt(sent, OK, detail=api.OutcomeDetail.HIT, after_ms=100.0)
+        out = [sent for key in range(12) for sent in world.send_request(key)]
         for key in range(600):
             sent, share = out[0], sum(other.server == out[0].server for other in out)
             took_ms = 100.0 * max(1.0, share / bears)
-            world.put(
+            world.handle_event(
                 api.Outcome(sent.id, 0, sent.server, OK, took_ms, True, detail=api.OutcomeDetail.HIT), 10.0
             )
-            out = [*out[1:], *(a for a in world.ask(key) if isinstance(a, api.Lookup))]
+            out = [*out[1:], *(a for a in world.send_request(key) if isinstance(a, api.Lookup))]
         for sent in out:
-            world.put(api.Outcome(sent.id, 0, sent.server, api.Status.CANCELLED, 1.0, True))
+            world.handle_event(api.Outcome(sent.id, 0, sent.server, api.Status.CANCELLED, 1.0, True))
         return sent_at_once(world, 400)
 
     assert told(1.0) < 0.75 * told(8.0)
@@ -78,61 +83,65 @@
 
 def test_a_full_box_is_not_knocked_at_again_and_again() -> None:
     world = silent_world(may_bypass_caches=False)
-    (first,) = world.ask(1)
-    world.end(first, REFUSED, after_ms=1.0)
-    (again,) = world.ask(1)
+    (first,) = world.send_request(1)
+    world.end_attempt(first, REFUSED, after_ms=1.0)
+    (again,) = world.send_request(1)
     assert isinstance(again, api.Reject)
-    (later,) = world.ask(1, after_ms=500.0)
+    (later,) = world.send_request(1, after_ms=500.0)
     assert isinstance(later, api.Lookup) and later.server == first.server
 
 
 def test_a_marked_repeat_gets_only_room_that_nobody_in_time_needs() -> None:
     first, repeat = silent_world(may_bypass_caches=False), silent_world(may_bypass_caches=False)
-    sent = sum(isinstance(a, api.Lookup) for n in range(200) for a in first.ask(n, is_client_retry=False))
-    again = sum(isinstance(a, api.Lookup) for n in range(200) for a in repeat.ask(n, is_client_retry=True))
+    sent = sum(
+        isinstance(a, api.Lookup) for n in range(200) for a in first.send_request(n, is_client_retry=False)
+    )
+    again = sum(
+        isinstance(a, api.Lookup) for n in range(200) for a in repeat.send_request(n, is_client_retry=True)
+    )
     assert 0 < again < sent
 
 
 # Keyed writes.
 
 
-def keyed(world: World, key: str = "k1", after_ms: float = 0.0) -> list[Any]:
-    return world.ask(1, after_ms, is_write=True, idempotency_key=key)
+def keyed(world: DispatcherEnvironment, key: str = "k1", after_ms: float = 0.0) -> list[Any]:
+    return world.send_request(1, after_ms, is_write=True, idempotency_key=key)
 
 
 def test_a_client_s_own_retry_is_the_same_request_to_whoever_decides_on_resends() -> None:
-    world = World(classes=(KEYED,), max_attempts=1)
+    world = DispatcherEnvironment(classes=(KEYED,), max_attempts=1)
     (first,) = keyed(world)
-    assert finals(world.end(first, ERROR, after_ms=100.0))
+    assert final_answers(world.end_attempt(first, ERROR, after_ms=100.0))
     (second,) = keyed(world, after_ms=1_000.0)
     assert isinstance(second, api.Fetch)  # within the store's time its repeat does nothing
-    world.end(second, ERROR, after_ms=100.0)
+    world.end_attempt(second, ERROR, after_ms=100.0)
     assert keyed(world, after_ms=2_000.0) == [api.Fail(3)]  # counted from the first send that may have run
     (other,) = keyed(world, "k2")
     assert isinstance(other, api.Fetch)
 
 
 def test_a_key_whose_sends_never_ran_is_as_new() -> None:
-    world = World(classes=(KEYED,), max_attempts=1)
+    world = DispatcherEnvironment(classes=(KEYED,), max_attempts=1)
     (first,) = keyed(world)
-    world.end(first, REFUSED, after_ms=100.0)
+    world.end_attempt(first, REFUSED, after_ms=100.0)
     (late,) = keyed(world, after_ms=5_000.0)
     assert isinstance(late, api.Fetch)
 
 
 def test_a_client_that_leaves_mid_attempt_leaves_its_key_behind() -> None:
-    world = World(classes=(KEYED,))
+    world = DispatcherEnvironment(classes=(KEYED,))
     (first,) = keyed(world)
-    world.put(api.ClientDisconnected(first.id), 50.0)
-    world.end(first, api.Status.CANCELLED, is_answered=True)
+    world.handle_event(api.ClientDisconnected(first.id), 50.0)
+    world.end_attempt(first, api.Status.CANCELLED, is_answered=True)
     assert keyed(world, after_ms=3_100.0) == [api.Fail(2)]
 
 
 def test_an_attempt_that_waited_past_the_store_s_time_is_not_written() -> None:
-    world = World(classes=(KEYED,))
+    world = DispatcherEnvironment(classes=(KEYED,))
     (first,) = keyed(world)
-    (second,) = world.end(first, ERROR, after_ms=100.0)
-    sent = world.now
+    (second,) = world.end_attempt(first, ERROR, after_ms=100.0)
+    sent = world.clock_ms
     assert world.dispatcher.may_write(second.id, 1, sent + KEYED.deduplication_window_ms - 150.0)
     assert not world.dispatcher.may_write(
         second.id, 1, sent + KEYED.deduplication_window_ms
@@ -140,40 +149,42 @@
 
 
 def test_an_attempt_that_waits_while_another_s_answer_begins_is_not_written() -> None:
-    world = World(may_cancel=False)  # what was written can't be taken back; what was not need not go
-    (first,), _ = world.ask(), world.ask()
+    world = DispatcherEnvironment(
+        may_cancel=False
+    )  # what was written can't be taken back; what was not need not go
+    (first,), _ = world.send_request(), world.send_request()
     sent = (a for _ in range(56) for a in world.sweep() if isinstance(a, api.Lookup | api.Fetch))
     second = next(a for a in sent if a.id == first.id)
     assert (second.id, second.server != first.server) == (first.id, True)  # silent for so long
-    assert world.dispatcher.may_write(first.id, 1, world.now)
-    world.put(api.FirstByte(first.id, 0, first.server, 20.0))
-    assert not world.dispatcher.may_write(first.id, 1, world.now)
+    assert world.dispatcher.may_write(first.id, 1, world.clock_ms)
+    world.handle_event(api.FirstByte(first.id, 0, first.server, 20.0))
+    assert not world.dispatcher.may_write(first.id, 1, world.clock_ms)
 
 
 def test_a_refusal_never_sends_a_keyed_client_back_past_the_store_s_time() -> None:
     for after_ms, kind in ((100.0, api.Reject), (2_700.0, api.Fail)):  # its wait would be 500 ms
-        world = World(classes=(KEYED,), max_attempts=1)
+        world = DispatcherEnvironment(classes=(KEYED,), max_attempts=1)
         (first,) = keyed(world)
-        (final,) = finals(world.end(first, ERROR, after_ms=after_ms))
+        (final,) = final_answers(world.end_attempt(first, ERROR, after_ms=after_ms))
         assert isinstance(final, kind)
 
 
 def test_a_write_is_no_transfer_and_goes_straight_where_its_box_is_crowded() -> None:
     world = silent_world(may_bypass_caches=True, classes=(PAGE, replace(KEYED, name="booking")))
-    world.put(api.Request(9_000, "page", 1, 3_000.0))
+    world.handle_event(api.Request(9_000, "page", 1, 3_000.0))
     for key in range(300):
-        world.ask(key)
+        world.send_request(key)
     write = api.Request(9_001, "booking", 1, 3_000.0, is_write=True, idempotency_key="k")
-    (sent,) = world.put(write)
+    (sent,) = world.handle_event(write)
     assert sent.server == "o" or sent.source == "o"
 
 
 def test_a_write_waits_while_the_origin_rests_and_is_never_asked_for_as_held() -> None:
-    world = World(classes=(PAGE, replace(KEYED, name="booking")))
+    world = DispatcherEnvironment(classes=(PAGE, replace(KEYED, name="booking")))
     origin = world.servers["o"]
-    origin.backoff_until_ms, origin.last_sent_ms = world.now + 100.0, world.now
+    origin.backoff_until_ms, origin.last_sent_ms = world.clock_ms + 100.0, world.clock_ms
     write = api.Request(9_001, "booking", 1, 3_000.0, is_write=True, idempotency_key="k")
-    assert world.put(write) == []
+    assert world.handle_event(write) == []
     origin.backoff_until_ms = 0.0
     (sent,) = world.sweep()
     assert sent.source == "o" and not sent.cached_only
@@ -304,44 +315,44 @@
 # What worked elsewhere by luck: a second copy allowed, a size listed.
 
 
-def swept(world: World) -> list[Any]:
+def swept(world: DispatcherEnvironment) -> list[Any]:
     """What the first sweep within 3 s that does anything does."""
     return next((done for _ in range(60) if (done := world.sweep())), [])
 
 
 def test_where_no_second_copy_may_be_out_a_silent_box_s_work_is_called_off_and_sent_anew() -> None:
-    world = World(hedging=False)
-    (first,) = world.ask(1)
+    world = DispatcherEnvironment(hedging=False)
+    (first,) = world.send_request(1)
     world.servers[first.server].response_gap_ms = 50.0
     assert swept(world) == [api.Cancel(first.id, 0)]
-    (again,) = world.end(first, api.Status.CANCELLED)
+    (again,) = world.end_attempt(first, api.Status.CANCELLED)
     assert again.id == first.id and again.server != first.server
 
 
 def test_a_silent_source_is_called_off_and_its_box_asked_again_by_another_way() -> None:
-    world = World(hedging=False)
-    fill = world.fill(1)
+    world = DispatcherEnvironment(hedging=False)
+    fill = world.start_fill(1)
     world.servers[fill.source].response_gap_ms = 50.0
     (cancel,) = swept(world)
-    (again,) = world.end(fill, api.Status.CANCELLED, cancel.attempt)
+    (again,) = world.end_attempt(fill, api.Status.CANCELLED, cancel.attempt)
     assert again.server == fill.server and again.source != fill.source
 
 
 def test_the_guess_of_each_box_s_room_stays_when_a_neighbour_leaves() -> None:
     world = silent_world()
     before = [s.concurrency_limit.estimate for s in world.own_caches]
-    world.listed(replace(BARE[0], state=api.ServerState.DRAINING))
+    world.update_endpoints(replace(BARE[0], state=api.ServerState.DRAINING))
     assert before == [8.0] * 3 and [s.concurrency_limit.estimate for s in world.own_caches] == [8.0] * 2
 
 
 def test_a_cold_box_of_unlisted_size_gets_half_of_the_guess_as_its_budget() -> None:
     def sent(**settings: Any) -> int:
         cold = tuple(replace(s, started_ms=99_000.0) for s in BARE)
-        world = World((*cold, *PARENTS, ORIGIN), may_bypass_caches=False, **settings)
+        world = DispatcherEnvironment((*cold, *PARENTS, ORIGIN), may_bypass_caches=False, **settings)
         world.state.estimates.mean_ms_by_class["page"] = world.state.estimates.mean_ms = 100.0  # as learned
         for s in world.servers.values():
             s.fill_quota = 500.0
-        actions = [a for key in range(400) for a in world.ask(key, after_ms=2.0)]
+        actions = [a for key in range(400) for a in world.send_request(key, after_ms=2.0)]
         return sum(isinstance(a, api.Lookup | api.Fetch) for a in actions)
 
     blind, guessed = sent(capacities_listed=False), sent(**SILENT)
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -23,7 +23,7 @@
 from gladewalk.rehearsal.director_harness import SETTINGS, DirectorHarness, config_for, wait_until
 from gladewalk.rehearsal.resolver import StubResolver
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
-from tests.world import CACHES, PARENTS, World
+from tests.world import CACHES, PARENTS, DispatcherEnvironment
 
 ZONE = dns.name.from_text("cdn.example.")
 DIRECTOR_ADDRESS = "127.0.0.9"
@@ -210,53 +210,55 @@
 
 
 class DnsPlacementTest(unittest.TestCase):
-    def resolve(self, world: World, key: int, **more: Any) -> Any:
-        (action,) = world.put(
+    def resolve(self, world: DispatcherEnvironment, key: int, **more: Any) -> Any:
+        (action,) = world.handle_event(
             api.ResolveRequest(1000 + key, "page", key, 1000.0, more.pop("holder", "r"), **more)
         )
         return action
 
     def test_leases_stay_with_the_address_when_another_cache_takes_it(self) -> None:
         places = tuple(api.Server(f"c{n}", api.Role.CACHE, "e1", 8.0, address=f"p{n}") for n in range(1))
-        world = World(places, slow_start_fraction=0.5)
+        world = DispatcherEnvironment(places, slow_start_fraction=0.5)
         named = sum(bool(self.resolve(world, key).servers) for key in range(9))
         self.assertEqual(named, 4)  # half of 0.8 x 3 x 0.5 x 8
         gone = api.Server("c0", api.Role.CACHE, "e1", 8.0, api.ServerState.GONE, address="p0")
-        world.listed(gone, api.Server("c9", api.Role.CACHE, "e1", 8.0, started_ms=world.now, address="p0"))
+        world.update_endpoints(
+            gone, api.Server("c9", api.Role.CACHE, "e1", 8.0, started_ms=world.clock_ms, address="p0")
+        )
         self.assertEqual([self.resolve(world, key).servers for key in (99, 0)], [(), ()])
-        world.now += 1_000.0  # the cold cache's budget has capacity again
+        world.clock_ms += 1_000.0  # the cold cache's budget has capacity again
         self.assertEqual(self.resolve(world, 99).servers, ())
         # A resolver that has the lease already gets it again.
         self.assertEqual(self.resolve(world, 0).servers, ("c9",))
 
     def test_leases_reduce_what_a_cold_cache_is_sent(self) -> None:
         def sends(leases: int, is_full: bool = False) -> int:
-            world = World((CACHES[0], *PARENTS), slow_start_fraction=0.5)
+            world = DispatcherEnvironment((CACHES[0], *PARENTS), slow_start_fraction=0.5)
             for key in range(leases):
                 self.resolve(world, key)
             if is_full:  # leases that the last run granted
-                world.state.dns_lease_table().assume_full(world.now + 300_000.0)
-            world.listed(api.Server("c0", api.Role.CACHE, "e1", 8.0, started_ms=world.now))
-            sent, count = world.ask(100), 0
+                world.state.dns_lease_table().assume_full(world.clock_ms + 300_000.0)
+            world.update_endpoints(api.Server("c0", api.Role.CACHE, "e1", 8.0, started_ms=world.clock_ms))
+            sent, count = world.send_request(100), 0
             for n in range(60):
                 while sent:
                     count += 1
-                    sent += world.end(
+                    sent += world.end_attempt(
                         sent.pop(), api.Status.OK, detail=api.OutcomeDetail.FILLED, after_ms=0.0
                     )
-                sent = world.ask(101 + n, after_ms=40.0)
+                sent = world.send_request(101 + n, after_ms=40.0)
             return count
 
         self.assertLess(sends(4), sends(0))
         self.assertLessEqual(sends(0, is_full=True), sends(4))
 
     def test_a_name_without_a_group_is_in_every_purged_group(self) -> None:
-        world = World()
-        world.put(api.Purge(None, 7, 10.0))
+        world = DispatcherEnvironment()
+        world.handle_event(api.Purge(None, 7, 10.0))
         self.assertFalse(self.resolve(world, 1).servers)
         self.assertFalse(self.resolve(world, 1, group=7).servers)
         self.assertTrue(self.resolve(world, 1, group=8).servers)
-        world.now += 8_000.0
+        world.clock_ms += 8_000.0
         self.assertTrue(self.resolve(world, 2).servers)
 
     def test_names_are_classified_as_they_are_formatted(self) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -42,23 +42,23 @@
     api.Server("p2", api.Role.PARENT, "h2", 30.0),
 )
 ORIGIN = api.Server("o", api.Role.ORIGIN, "h1", 10.0)
-ALL = (*CACHES, *SIBLINGS, *PARENTS, ORIGIN)
+ALL_SERVERS = (*CACHES, *SIBLINGS, *PARENTS, ORIGIN)
 
 
-def finals(actions: list[Any]) -> list[Any]:
+def final_answers(actions: list[Any]) -> list[Any]:
     return [a for a in actions if isinstance(a, api.Reject | api.Fail)]
 
 
-class World:
+class DispatcherEnvironment:
     """One dispatcher, its clock and its open ids."""
 
-    def __init__(self, servers: tuple[api.Server, ...] = ALL, seed: int = 1, **changes: Any) -> None:
-        self.now = 100_000.0
+    def __init__(self, servers: tuple[api.Server, ...] = ALL_SERVERS, seed: int = 1, **changes: Any) -> None:
+        self.clock_ms = 100_000.0
         self.dispatcher = Dispatcher(replace(SETTINGS, **changes), seed)
         self.state, self.health = self.dispatcher.state, self.dispatcher.health
         self.next_id = 0
         self.state.random.random = lambda: 0.99  # type: ignore[method-assign]  # no sibling trial
-        self.listed(*servers, kind=api.EndpointListKind.PERSISTED)
+        self.update_endpoints(*servers, kind=api.EndpointListKind.PERSISTED)
 
     @property
     def servers(self) -> dict[str, ServerRecord]:
@@ -68,39 +68,43 @@
     def own_caches(self) -> list[ServerRecord]:
         return self.state.registry.own_caches
 
-    def trials(self, on: bool) -> None:
+    def set_sibling_trials(self, on: bool) -> None:
         self.state.random.random = lambda: 0.0 if on else 0.99  # type: ignore[method-assign]
 
-    def put(self, event: api.Event, after_ms: float = 0.0) -> list[Any]:
-        self.now += after_ms
-        actions = self.dispatcher.handle(self.now, event)
+    def handle_event(self, event: api.Event, after_ms: float = 0.0) -> list[Any]:
+        self.clock_ms += after_ms
+        actions = self.dispatcher.handle(self.clock_ms, event)
         return [a for a in actions if not isinstance(a, api.SetTimer | api.Log)]
 
-    def listed(
+    def update_endpoints(
         self, *servers: api.Server, kind: api.EndpointListKind = api.EndpointListKind.DELTA
     ) -> list[Any]:
-        return self.put(api.EndpointList(kind, servers))
+        return self.handle_event(api.EndpointList(kind, servers))
 
-    def ask(self, key: int = 1, after_ms: float = 0.0, left_ms: float = 3000.0, **more: Any) -> list[Any]:
+    def send_request(
+        self, key: int = 1, after_ms: float = 0.0, left_ms: float = 3000.0, **more: Any
+    ) -> list[Any]:
         self.next_id += 1
-        return self.put(api.Request(self.next_id, "page", key, left_ms, **more), after_ms)
+        return self.handle_event(api.Request(self.next_id, "page", key, left_ms, **more), after_ms)
 
-    def home(self, key: int) -> str:
+    def find_home(self, key: int) -> str:
         """Where a request for an object goes, when it is answered before the next."""
-        (sent,) = self.ask(key)
-        self.end(sent, api.Status.OK, detail=api.OutcomeDetail.HIT)
+        (sent,) = self.send_request(key)
+        self.end_attempt(sent, api.Status.OK, detail=api.OutcomeDetail.HIT)
         return str(sent.server)
 
-    def end(self, sent: Any, status: api.Status, attempt: int = 0, **more: Any) -> list[Any]:
+    def end_attempt(self, sent: Any, status: api.Status, attempt: int = 0, **more: Any) -> list[Any]:
         after = more.pop("after_ms", 20.0)
         closed = more.pop("is_answered", status is api.Status.OK)
-        return self.put(api.Outcome(sent.id, attempt, sent.server, status, after, closed, **more), after)
+        return self.handle_event(
+            api.Outcome(sent.id, attempt, sent.server, status, after, closed, **more), after
+        )
 
-    def fill(self, key: int, **more: Any) -> Any:
+    def start_fill(self, key: int, **more: Any) -> Any:
         """A request that its home lacks: the attempt that fills it."""
-        (lookup,) = self.ask(key, **more)
-        (fetch,) = self.end(lookup, api.Status.MISS)
+        (lookup,) = self.send_request(key, **more)
+        (fetch,) = self.end_attempt(lookup, api.Status.MISS)
         return fetch
 
     def sweep(self, after_ms: float = 50.0) -> list[Any]:
-        return self.put(api.Timer("sweep"), after_ms)
+        return self.handle_event(api.Timer("sweep"), after_ms)
