--- a/gladewalk/__main__.py
+++ b/gladewalk/__main__.py
@@ -11,9 +11,9 @@
     """Runs a director or a command; returns the exit code."""
     if len(sys.argv) == 1:  # the platform's way: the command line's library is not even imported
         signals.block()  # before all that takes time to import
-        from .core.memory_tuning import without_tables
+        from .core.memory_tuning import block_rich_import
 
-        without_tables()
+        block_rich_import()
         from .daemon import run
 
         return run()
--- a/gladewalk/cli/run_commands.py
+++ b/gladewalk/cli/run_commands.py
@@ -21,9 +21,9 @@
 
 def run_director(options_path: str | None, dns_path: str | None) -> None:
     """Runs a director in this process and exits with its code."""
-    from ..core.memory_tuning import without_tables
+    from ..core.memory_tuning import block_rich_import
 
-    without_tables()
+    block_rich_import()
     from ..daemon import run
 
     exit_with(run(options_path, dns_path))
--- a/gladewalk/core/memory_tuning.py
+++ b/gladewalk/core/memory_tuning.py
@@ -5,7 +5,7 @@
 import sys
 
 
-def without_tables() -> None:
+def block_rich_import() -> None:
     """Guards against structlog, which imports rich wherever it is: only the command line's tables need it.
 
     To be called by a process that becomes a director, before anything imports structlog.
