--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -38,7 +38,7 @@
     "ResponseHead", "ResponseWriter", "UpstreamPool",
 ]  # fmt: skip
 
-LOOP_TURN_MS = 20.0  # a usual turn of the event loop is shorter: whatever came before it has been read
+LOOP_ITERATION_MS = 20.0  # a usual turn of the event loop is shorter: whatever came before it has been read
 ANSWER_MARGIN_MS = 60.0  # a final answer leaves this long before its deadline, as a busy loop may be late
 
 
@@ -159,7 +159,7 @@
         unread behind a long turn of the loop, so the socket is asked once a request is older than a turn.
         """
         opened, now = attempt.open_request, self.clock()
-        waited_long = now > opened.received_ms + LOOP_TURN_MS
+        waited_long = now > opened.received_ms + LOOP_ITERATION_MS
         if not opened.is_answered and waited_long and opened.client.is_disconnected():
             self.client_disconnected(opened.number)
         return not opened.is_answered and self.dispatcher.may_write(opened.number, attempt.number, now)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from gladewalk.core.exchange import LOOP_TURN_MS
+from gladewalk.core.exchange import LOOP_ITERATION_MS
 from gladewalk.rehearsal.director_harness import wait_until
 from gladewalk.rehearsal.http_messages import encode_request
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
@@ -50,7 +50,9 @@
             client.sendall(encode_request("/invoke/lot-page/a1"))
             await wait_until(lambda: bool(director.exchange.held_requests))
             real = director.clock
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0  # it has waited longer than a turn
+            director.exchange.clock = lambda: (
+                real() + LOOP_ITERATION_MS + 1.0
+            )  # it has waited longer than a turn
             (connection,) = director.front.connections
             client.close()  # and no turn of the loop from here on
             assert connection.is_disconnected()
@@ -85,7 +87,7 @@
             (upstream,) = director.connection_pool.open_connections
             (dial,) = director.connection_pool.opener.opening
             assert isinstance(dial, ConnectionRequest) and isinstance(upstream, Http1Connection)
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0
+            director.exchange.clock = lambda: real() + LOOP_ITERATION_MS + 1.0
             client.close()
             assert connection.is_disconnected()
             director.connection_pool.write(upstream, dial.item)  # as the dial's next step does
