--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -64,7 +64,7 @@
         self._is_handling = False
         self._finished: list[int] = []
         self.final_deadline_ms = math.inf  # when every request is answered, whatever its client's patience
-        self.held_requests: list[OpenRequest] | None = None  # accepted, not yet shown to the module
+        self.buffered_requests: list[OpenRequest] | None = None  # accepted, not yet shown to the module
         self.request_log = RequestLog(clock, counters)
         self.response_budget = ResponseBudget(budget_bytes(config.memory_limit_mb), self._set_flow)
 
@@ -82,8 +82,8 @@
         margin_ms = min(ANSWER_MARGIN_MS, request.max_wait_ms / 8.0)
         opened.deadline_ms = min(self.final_deadline_ms, opened.deadline_ms - margin_ms)
         opened.timer = self.deadlines.add(opened.deadline_ms, lambda: self._request_timed_out(opened))
-        if self.held_requests is not None:
-            self.held_requests.append(opened)
+        if self.buffered_requests is not None:
+            self.buffered_requests.append(opened)
         else:
             self._offer(opened, now)
         return number
@@ -97,17 +97,17 @@
                 self.deadlines.drop(opened.timer)
                 opened.timer = self.deadlines.add(when_ms, lambda opened=opened: self._cut_short(opened))  # type: ignore[misc]
 
-    def hold_requests(self) -> None:
-        """Keeps new requests from the module until `release_held`, as its server list may be stale.
+    def buffer_requests(self) -> None:
+        """Keeps new requests from the module until `release_buffered_requests`, as its server list may be stale.
 
         Their deadlines run meanwhile; one that falls due is failed as usual.
         """
-        if self.held_requests is None:
-            self.held_requests = []
+        if self.buffered_requests is None:
+            self.buffered_requests = []
 
-    def release_held(self) -> None:
+    def release_buffered_requests(self) -> None:
         """Shows the module the requests held, in order of arrival, with the time that they have left now."""
-        held, self.held_requests = self.held_requests or [], None
+        held, self.buffered_requests = self.buffered_requests or [], None
         now = self.clock()
         for opened in held:
             if not opened.is_answered:
--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -128,7 +128,7 @@
             self.persistence.restore(self.endpoint_feed)
             self.persistence.start(self.endpoint_feed)
         self.coordinator_watch.on_synced = self._on_synced
-        self.exchange.hold_requests()
+        self.exchange.buffer_requests()
         self.deadlines.add(self.clock() + self.max_sync_wait_ms, self._on_synced)
         self.coordinator_watch.connect()
         self.connection_pool.sweep()
@@ -191,7 +191,7 @@
         """Releases held requests: the coordinator has answered, or was waited for long enough."""
         if not self.readiness.is_synced:
             self.readiness.is_synced = True
-            self.exchange.release_held()
+            self.exchange.release_buffered_requests()
             has_answered = self.coordinator_watch.on_synced is None
             self.counters.add("coordinator.heard_at_start" if has_answered else "coordinator.late_at_start")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -221,12 +221,12 @@
         async with running(cache, coordinator=Coordinator(may_answer=asyncio.Event())) as (world, director):
             _, writer = await world.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
-            await wait_until(lambda: len(director.exchange.held_requests or ()) == 1)
+            await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 1)
             writer.close()
             await wait_until(lambda: not director.front.connections)
             assert world.coordinator.may_answer is not None
             world.coordinator.may_answer.set()
-            await wait_until(lambda: director.exchange.held_requests is None)
+            await wait_until(lambda: director.exchange.buffered_requests is None)
             await wait_until(lambda: not director.exchange.open_requests)
             assert (len(cache.received), director.counters["attempts.written"]) == (0, 0)
 
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -46,9 +46,9 @@
             await wait_until(lambda: not director.front.connections)
             client = socket.create_connection(director.front.address)
             await wait_until(lambda: len(director.front.connections) == 1)
-            director.exchange.hold_requests()
+            director.exchange.buffer_requests()
             client.sendall(encode_request("/invoke/lot-page/a1"))
-            await wait_until(lambda: bool(director.exchange.held_requests))
+            await wait_until(lambda: bool(director.exchange.buffered_requests))
             real = director.clock
             director.exchange.clock = lambda: (
                 real() + LOOP_ITERATION_MS + 1.0
@@ -56,7 +56,7 @@
             (connection,) = director.front.connections
             client.close()  # and no turn of the loop from here on
             assert connection.is_disconnected()
-            director.exchange.release_held()
+            director.exchange.release_buffered_requests()
             await wait_until(
                 lambda: not director.exchange.open_requests and not director.connection_pool.opener.opening
             )
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -294,7 +294,7 @@
         for key, (_, writer) in enumerate(clients, 1):  # homes on both caches, by hash
             path = f"/invoke/lot-page/{key:x}?nth=0"
             writer.write(encode_request(path, trace=f"{key:016x}", wait_ms=PATIENCE_MS))
-        await wait_until(lambda: len(director.exchange.held_requests or ()) == 8)
+        await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 8)
         self.assertEqual((first.received, second.received), ([], []))
         assert coordinator.may_answer is not None
         coordinator.may_answer.set()
