--- a/gladewalk/core/deadlines.py
+++ b/gladewalk/core/deadlines.py
@@ -19,7 +19,7 @@
         self._due: SortedDict[DeadlineKey, Callable[[], None]] = SortedDict()
         self._rearm = rearm
         self._last_serial = 0
-        self.max_late_ms = 0.0  # the longest that any call has run past its time
+        self.max_call_delay_ms = 0.0  # the longest that any call has run past its time
 
     def add(self, when_ms: float, call: Callable[[], None]) -> DeadlineKey:
         """Schedules a call; the key cancels it (`drop`)."""
@@ -40,8 +40,8 @@
 
         An exception from one call propagates, but neither the other calls nor the timer are lost with it.
         """
-        if self._due and (late_ms := now_ms - self._due.peekitem(0)[0][0]) > self.max_late_ms:
-            self.max_late_ms = late_ms
+        if self._due and (late_ms := now_ms - self._due.peekitem(0)[0][0]) > self.max_call_delay_ms:
+            self.max_call_delay_ms = late_ms
         try:
             for key in list(self._due.irange(maximum=(now_ms, self._last_serial))):
                 call = self._due.pop(key, None)
--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -318,7 +318,7 @@
             "now.waiting": len(self.exchange.dispatcher.state.queue),
             "now.clients": len(self.front.connections),
             "now.upstream": len(self.connection_pool.open_connections),
-            "late_ms": round(self.deadlines.max_late_ms, 1),
+            "late_ms": round(self.deadlines.max_call_delay_ms, 1),
         }
         self.log.info("counters", **now, **self.counters.report())
 
