--- a/gladewalk/core/clocks.py
+++ b/gladewalk/core/clocks.py
@@ -81,6 +81,6 @@
             self._converted[instant] = steady_ms
         return steady_ms
 
-    def present(self) -> UnixInstant:
+    def now(self) -> UnixInstant:
         """Returns the present for another machine, as late as either clock says."""
         return UnixInstant(max(self._clock(), self._wall_clock().unix_ms))
