--- a/gladewalk/core/readiness.py
+++ b/gladewalk/core/readiness.py
@@ -71,12 +71,12 @@
         """Ends a drain. After SIGTERM the director stays unready all the same."""
         self.drain_since_ms = None
 
-    def may_close_idle(self, now_ms: float, is_quiet: bool) -> bool:
+    def may_close_idle(self, now_ms: float, is_input_empty: bool) -> bool:
         """Returns whether an idle connection may be closed now.
 
         Args:
             now_ms: The present time.
-            is_quiet: No byte from the client waits to be read on the connection. Together with the grace
+            is_input_empty: No byte from the client waits to be read on the connection. Together with the grace
                 period this makes it unlikely that a close crosses a request on its way.
 
         Returns:
@@ -88,4 +88,4 @@
         drained_for_ms = now_ms - self.drain_since_ms
         if drained_for_ms >= MAX_IDLE_DRAIN_MS:
             return True
-        return is_quiet and drained_for_ms >= IDLE_CLOSE_GRACE_MS
+        return is_input_empty and drained_for_ms >= IDLE_CLOSE_GRACE_MS
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -63,14 +63,14 @@
 
 def test_a_drain_keeps_its_beginning_and_closes_idle_connections_in_time() -> None:
     readiness = Readiness(is_started=True)
-    assert not readiness.may_close_idle(0.0, is_quiet=True)
+    assert not readiness.may_close_idle(0.0, is_input_empty=True)
     readiness.start_drain(10_000.0)
     readiness.start_drain(11_000.0)
     assert readiness.drain_since_ms == 10_000.0
-    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS - 1, is_quiet=True)
-    assert readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_quiet=True)
-    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_quiet=False)
-    assert readiness.may_close_idle(10_000.0 + MAX_IDLE_DRAIN_MS, is_quiet=False)
+    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS - 1, is_input_empty=True)
+    assert readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=True)
+    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=False)
+    assert readiness.may_close_idle(10_000.0 + MAX_IDLE_DRAIN_MS, is_input_empty=False)
     assert MAX_IDLE_DRAIN_MS < 4_000.0  # none is held idle when the front stops coming
 
 
