--- a/gladewalk/net/admin.py
+++ b/gladewalk/net/admin.py
@@ -17,7 +17,7 @@
 CALL_TIMEOUT_MS = 2_000.0
 """A call that has not arrived completely after this long is closed without an answer."""
 
-MAX_CALLERS = 64
+MAX_ADMIN_CONNECTIONS = 64
 """Connections open at once; one more closes the oldest."""
 
 MAX_CALL_BYTES = 8 * 1024
@@ -120,7 +120,7 @@
     """Listens at the second address on the director's own event loop and routes operators' calls.
 
     Attributes:
-        calls: Open connections, the oldest first.
+        connections: Open connections, the oldest first.
         address: Where it listens, once `listen` has returned.
     """
 
@@ -128,7 +128,7 @@
         self, routes: Routes, clock: Callable[[], float], deadlines: Deadlines, counters: Counters
     ) -> None:
         self.routes, self.clock, self.deadlines, self.counters = routes, clock, deadlines, counters
-        self.calls: dict[AdminConnection, None] = {}
+        self.connections: dict[AdminConnection, None] = {}
         self.address: Address = ("", 0)
         self._server: asyncio.Server | None = None
 
@@ -155,17 +155,17 @@
         return handler()
 
     def register(self, call: AdminConnection) -> None:
-        """Adds a connection and starts its timer; closes the oldest if there are `MAX_CALLERS` already."""
-        if len(self.calls) >= MAX_CALLERS:
-            oldest = next(iter(self.calls))
+        """Adds a connection and starts its timer; closes the oldest if there are `MAX_ADMIN_CONNECTIONS` already."""
+        if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
+            oldest = next(iter(self.connections))
             self.counters.add("admin.made_room")
             oldest.abort()
-        self.calls[call] = None
+        self.connections[call] = None
         call.due = self.deadlines.add(self.clock() + CALL_TIMEOUT_MS, call.abort)
 
     def unregister(self, call: AdminConnection) -> None:
         """Removes a connection that has closed, and its timer."""
-        self.calls.pop(call, None)
+        self.connections.pop(call, None)
         self.deadlines.drop(call.due)
         call.due = None
 
@@ -174,5 +174,5 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        for call in list(self.calls):
+        for call in list(self.connections):
             call.abort()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,7 @@
 from gladewalk.core.outcome_counters import Outcome, outcome_counter
 from gladewalk.core.readiness import IDLE_CLOSE_GRACE_MS, MAX_IDLE_DRAIN_MS, Readiness
 from gladewalk.director import Director
-from gladewalk.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, AdminFront, Response
+from gladewalk.net.admin import CALL_TIMEOUT_MS, MAX_ADMIN_CONNECTIONS, AdminFront, Response
 from gladewalk.ops.metrics import Gauges, format_metrics
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import SETTINGS, config_for, wait_until
@@ -129,18 +129,20 @@
         self.assertEqual((self.counters["admin.unknown_path"], self.counters["admin.wrong_method"]), (1, 1))
 
     async def test_silent_callers_cost_a_bounded_descriptor_and_timer_and_block_nobody(self) -> None:
-        silent = [await asyncio.open_connection(*self.admin.address) for _ in range(MAX_CALLERS + 8)]
+        silent = [
+            await asyncio.open_connection(*self.admin.address) for _ in range(MAX_ADMIN_CONNECTIONS + 8)
+        ]
         half = silent[0][1]
         half.write(b"GET /ops/read")
         self.assertEqual(await call(self.admin.address, encode_request("/ops/readiness")), (200, b"ready\n"))
-        await wait_until(lambda: len(self.admin.calls) <= MAX_CALLERS)
+        await wait_until(lambda: len(self.admin.connections) <= MAX_ADMIN_CONNECTIONS)
         self.now += CALL_TIMEOUT_MS
         self.deadlines.sweep(self.now)
-        await wait_until(lambda: not self.admin.calls)
+        await wait_until(lambda: not self.admin.connections)
         for reader, writer in silent:
             self.assertEqual(await reader.read(), b"")  # closed, unanswered
             writer.close()
-        self.assertGreaterEqual(self.counters["admin.calls_unfinished"], MAX_CALLERS)
+        self.assertGreaterEqual(self.counters["admin.calls_unfinished"], MAX_ADMIN_CONNECTIONS)
 
 
 class Program(unittest.IsolatedAsyncioTestCase):
