--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -199,7 +199,7 @@
             api.Outcome(
                 id=opened.number,
                 attempt=attempt.number,
-                server=attempt.order.server,
+                server=attempt.action.server,
                 status=result.status,
                 elapsed_ms=self.clock() - attempt.started_ms,
                 is_answered=opened.is_answered,
