--- a/benchmarks/soak/broken_director.py
+++ b/benchmarks/soak/broken_director.py
@@ -103,7 +103,7 @@
     send = ClientConnection._write_status
 
     def send_twice(self: ClientConnection, status: int, fields: list[str] | None = None) -> None:
-        self.is_last = True
+        self.is_ending = True
         send(self, status, fields)
         self._write(b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
 
--- a/gladewalk/net/clients.py
+++ b/gladewalk/net/clients.py
@@ -259,7 +259,7 @@
         """Notes whether a connection has a request open, awaits one or is idle."""
         if connection.open_number is not None or connection.pipelined:
             return self._set_state(connection, None)
-        if connection not in self.connections or connection.is_last or connection.is_evicted:
+        if connection not in self.connections or connection.is_ending or connection.is_evicted:
             return
         is_awaiting = connection.has_partial_request or not connection.has_received_request
         self._set_state(connection, self.awaiting if is_awaiting else self.idle)
@@ -333,7 +333,7 @@
     def _shut_down_unused(self) -> None:
         now = self.clock()
         for connection in list(self.connections):
-            if not connection.is_last and not connection.has_open_request(now):
+            if not connection.is_ending and not connection.has_open_request(now):
                 connection.shut_down()
 
     def is_done(self) -> bool:
@@ -345,7 +345,7 @@
         self._shut_down_unused()
         now = self.clock()
         has_open = any(
-            connection.has_open_request(now) or not connection.is_last for connection in self.connections
+            connection.has_open_request(now) or not connection.is_ending for connection in self.connections
         )
         has_recent = any(now - since_ms < FINAL_LINGER_MS for since_ms in self.lingering.values())
         return self._listener is None and not self._setting_up and not has_open and not has_recent
--- a/gladewalk/net/connection.py
+++ b/gladewalk/net/connection.py
@@ -52,7 +52,7 @@
         # Requests read but not submitted; an int is a status to answer.
         self.pipelined: deque[ClientRequest | int] = deque()
         self.has_received_request = False
-        self.is_last = False  # the last request or answer of this connection: further input is discarded
+        self.is_ending = False  # the last request or answer of this connection: further input is discarded
         self.is_reading_paused = self.is_writing_paused = False
         self._is_advancing = False
         self._came_ms = math.inf  # when the last bytes came, as far as that is asked
@@ -79,7 +79,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parses input, within bounds, and submits a request that is complete."""
-        if self.is_last:
+        if self.is_ending:
             return
         is_late = self.front.read_turns.is_late() or self._may_read_late
         self._may_read_late = False
@@ -132,7 +132,7 @@
 
     def on_message_complete(self) -> None:
         """The request is complete: it joins the queue of this connection."""
-        self.is_last = not self.parser.should_keep_alive()
+        self.is_ending = not self.parser.should_keep_alive()
         self.has_partial_request, self.has_received_request = False, True
         try:
             request = self._read_request()
@@ -159,7 +159,7 @@
     def _reject_input(self, status: int) -> None:
         """Answers input that cannot be parsed further; the connection closes after that."""
         self.pipelined.append(status)
-        self.is_last = True
+        self.is_ending = True
 
     def request_timed_out(self) -> None:
         """Answers 408: a request that has begun to come is not complete in its time."""
@@ -195,10 +195,10 @@
         """Whether an answer is owed here, or would be for a request that has begun to come."""
         if self._is_over():
             return False
-        is_coming = self.has_partial_request and not self.is_last
+        is_coming = self.has_partial_request and not self.is_ending
         if self.open_number is not None or self.pipelined or is_coming:
             return True
-        return self.is_sending(now_ms) or not (self.is_last or self.is_input_empty())
+        return self.is_sending(now_ms) or not (self.is_ending or self.is_input_empty())
 
     # The connection's end.
 
@@ -208,7 +208,7 @@
         Closing both sides over unread input would reset the connection, and with it the answer just written.
         No request that crosses this end is accepted, as its answer would not arrive.
         """
-        self.is_last = True
+        self.is_ending = True
         if self.transport is not None and not self.transport.is_closing():
             self._end_sending_now()
             self.transport.resume_reading()
@@ -342,16 +342,16 @@
 
     def _encode_head(self, lines: list[str]) -> bytes:
         if self._is_last_response():
-            self.is_last = True  # the client sends no more here: a request that crosses it is not accepted
+            self.is_ending = True  # the client sends no more here: a request that crosses it is not accepted
             lines.append("Connection: close")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
     def _is_last_response(self) -> bool:
         """Whether this answer is the last; not while another request has come, or has begun to."""
-        if self.pipelined or self.is_last:
-            return self.is_last and not self.pipelined
-        is_ending = self.front.is_closing or self.front.readiness.is_draining
-        return is_ending and not self.has_partial_request and self.is_input_empty()
+        if self.pipelined or self.is_ending:
+            return self.is_ending and not self.pipelined
+        is_shutting_down = self.front.is_closing or self.front.readiness.is_draining
+        return is_shutting_down and not self.has_partial_request and self.is_input_empty()
 
     def _write_status(self, status: int, fields: list[str] | None = None) -> None:
         reason = b"OK" if status == 200 else REASONS[status]
@@ -362,7 +362,7 @@
         self.open_number = None
         self._release_request()
         if self.transport is not None and not self.pipelined:
-            if self.is_last:
+            if self.is_ending:
                 self.shut_down()
             elif self.is_reading_paused:
                 self.is_reading_paused = False
--- a/tests/test_endless.py
+++ b/tests/test_endless.py
@@ -48,7 +48,7 @@
                 with contextlib.suppress(ConnectionError):
                     await writer.drain()
                 (connection,) = director.front.connections
-                await wait_until(lambda c=connection: c.is_last or c.is_input_empty())  # type: ignore[misc]
+                await wait_until(lambda c=connection: c.is_ending or c.is_input_empty())  # type: ignore[misc]
                 await asyncio.sleep(0)
             assert sent <= most + 2 * len(piece)
             assert f" {status} " in (await answer)[0]
