--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -98,9 +98,9 @@
                 opened.timer = self.deadlines.add(when_ms, lambda opened=opened: self._cut_short(opened))  # type: ignore[misc]
 
     def buffer_requests(self) -> None:
-        """Keeps new requests from the module until `release_buffered_requests`, as its server list may be stale.
+        """Buffers new requests until `release_buffered_requests`, while the module's server list may be stale.
 
-        Their deadlines run meanwhile; one that falls due is failed as usual.
+        Their deadlines apply meanwhile: a request that reaches its deadline in the buffer fails as usual.
         """
         if self.buffered_requests is None:
             self.buffered_requests = []
--- a/gladewalk/core/readiness.py
+++ b/gladewalk/core/readiness.py
@@ -76,8 +76,8 @@
 
         Args:
             now_ms: The present time.
-            is_input_empty: No byte from the client waits to be read on the connection. Together with the grace
-                period this makes it unlikely that a close crosses a request on its way.
+            is_input_empty: The connection has no unread input from the client. Together with the grace period
+                this makes it unlikely that the client sends a request while the connection is being closed.
 
         Returns:
             During a drain, true after `IDLE_CLOSE_GRACE_MS` for a quiet connection and after
--- a/gladewalk/net/admin.py
+++ b/gladewalk/net/admin.py
@@ -155,7 +155,7 @@
         return handler()
 
     def register(self, call: AdminConnection) -> None:
-        """Adds a connection and starts its timer; closes the oldest if there are `MAX_ADMIN_CONNECTIONS` already."""
+        """Adds a connection and starts its timer; at `MAX_ADMIN_CONNECTIONS` the oldest is aborted first."""
         if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
             oldest = next(iter(self.connections))
             self.counters.add("admin.made_room")
