--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -98,7 +98,7 @@
                 opened.timer = self.deadlines.add(when_ms, lambda opened=opened: self._cut_short(opened))  # type: ignore[misc]
 
     def buffer_requests(self) -> None:
-        """Buffers new requests until `release_buffered_requests`, while the module's server list may be stale.
+        """Buffers new requests until `release_buffered_requests`, as the module may have a stale server list.
 
         Their deadlines apply meanwhile: a request that reaches its deadline in the buffer fails as usual.
         """
