--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -66,7 +66,7 @@
         self.final_deadline_ms = math.inf  # when every request is answered, whatever its client's patience
         self.buffered_requests: list[OpenRequest] | None = None  # accepted, not yet shown to the module
         self.request_log = RequestLog(clock, counters)
-        self.response_budget = ResponseBudget(budget_bytes(config.memory_limit_mb), self._set_flow)
+        self.response_budget = ResponseBudget(budget_bytes(config.memory_limit_mb), self._set_reading)
 
     # Called by the client side.
 
@@ -326,9 +326,9 @@
             attempt.timer = self.deadlines.add(deadline_ms, lambda: self._stop(attempt, api.Status.TIMEOUT))
         self.upstreams.start(attempt)
 
-    def _set_flow(self, attempt: Attempt, on: bool) -> None:
+    def _set_reading(self, attempt: Attempt, on: bool) -> None:
         assert self.upstreams is not None
-        self.upstreams.flow(attempt, on)
+        self.upstreams.set_reading(attempt, on)
 
     def _cancel(self, attempt: Attempt) -> None:
         self._stop(attempt, api.Status.CANCELLED)
--- a/gladewalk/core/exchange_types.py
+++ b/gladewalk/core/exchange_types.py
@@ -98,7 +98,7 @@
     def cancel(self, attempt: Attempt) -> None:
         """Abandons an attempt silently: the exchange is not called about it any more."""
 
-    def flow(self, attempt: Attempt, on: bool) -> None:
+    def set_reading(self, attempt: Attempt, on: bool) -> None:
         """Resumes (`on`) or pauses reading an attempt's response, while there is no room to hold it."""
 
     def probe(self, name: str, done: Callable[[api.Status, float, Any], None], path: str = ...) -> None:
--- a/gladewalk/core/response_buffer.py
+++ b/gladewalk/core/response_buffer.py
@@ -67,19 +67,19 @@
 class ResponseBudget:
     """Bounds the bytes of all responses that are held, until their clients have taken them."""
 
-    def __init__(self, limit_bytes: int, set_flow: Callable[[Attempt, bool], None]) -> None:
-        """`set_flow` pauses (False) or resumes reading an attempt's response."""
+    def __init__(self, limit_bytes: int, set_reading: Callable[[Attempt, bool], None]) -> None:
+        """`set_reading` pauses (False) or resumes reading an attempt's response."""
         self.limit_bytes = limit_bytes
         self.used_bytes = 0
         self.waiting: dict[Attempt, ResponseBuffer] = {}  # paused, in order of arrival
-        self._set_flow = set_flow
+        self._set_reading = set_reading
 
     def admit(self, attempt: Attempt, response: ResponseBuffer) -> bool:
         """Reserves a response's size, or pauses it until there is room; returns whether it was admitted."""
         if not self.waiting and self._reserve(response):
             return True
         self.waiting[attempt] = response
-        self._set_flow(attempt, False)
+        self._set_reading(attempt, False)
         return False
 
     def withdraw(self, attempt: Attempt) -> None:
@@ -95,7 +95,7 @@
             if not self._reserve(next_response):
                 return
             del self.waiting[attempt]
-            self._set_flow(attempt, True)
+            self._set_reading(attempt, True)
 
     def _reserve(self, response: ResponseBuffer) -> bool:
         needed = response.needed_bytes()
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -145,7 +145,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def flow(self, item: WorkItem, on: bool) -> None:
+    def set_reading(self, item: WorkItem, on: bool) -> None:
         """Resumes (`on`) or pauses reading the response."""
         if self.transport is not None:
             if on:
--- a/gladewalk/upstream/http2_stream.py
+++ b/gladewalk/upstream/http2_stream.py
@@ -84,7 +84,7 @@
         self.item = None
         self.connection.abandon(self)
 
-    def flow(self, item: WorkItem, on: bool) -> None:
+    def set_reading(self, item: WorkItem, on: bool) -> None:
         """Resumes (`on`) or pauses the response by the stream's window."""
         self.is_paused = not on
         if on:
--- a/gladewalk/upstream/pool.py
+++ b/gladewalk/upstream/pool.py
@@ -140,10 +140,10 @@
         """Abandons an attempt silently: the exchange is not called about it any more."""
         self._cancel(attempt)
 
-    def flow(self, attempt: Attempt, on: bool) -> None:
+    def set_reading(self, attempt: Attempt, on: bool) -> None:
         """Resumes (`on`) or pauses reading an attempt's response."""
         if attempt.carrier is not None:
-            attempt.carrier.flow(attempt, on)
+            attempt.carrier.set_reading(attempt, on)
 
     def probe(
         self,
--- a/gladewalk/upstream/upstream_server.py
+++ b/gladewalk/upstream/upstream_server.py
@@ -160,5 +160,5 @@
         """Ends the wait; the work item gets no result."""
         self.pool.withdraw(self)
 
-    def flow(self, item: WorkItem, on: bool) -> None:
+    def set_reading(self, item: WorkItem, on: bool) -> None:
         """Does nothing: there is no response yet."""
--- a/gladewalk/upstream/work_items.py
+++ b/gladewalk/upstream/work_items.py
@@ -40,7 +40,7 @@
     def cancel(self, item: WorkItem) -> None:
         """Abandons the work item silently: the pool is not called about it any more."""
 
-    def flow(self, item: WorkItem, on: bool) -> None:
+    def set_reading(self, item: WorkItem, on: bool) -> None:
         """Resumes (`on`) or pauses reading the response."""
 
 
--- a/gladewalk/web/connection.py
+++ b/gladewalk/web/connection.py
@@ -85,10 +85,10 @@
         result = ProxyResult(api.Status.TIMEOUT, condition="timeout", response_status=GATEWAY_TIMEOUT)
         self.pool.finish(item, result)
 
-    def flow(self, item: WorkItem, on: bool) -> None:
+    def set_reading(self, item: WorkItem, on: bool) -> None:
         """Resumes (`on`) or pauses reading, which also pauses the read timeout."""
         self.is_paused = not on
-        super().flow(item, on)
+        super().set_reading(item, on)
 
     def close(self) -> None:
         """Abandons what is carried and aborts the connection."""
--- a/gladewalk/web/front.py
+++ b/gladewalk/web/front.py
@@ -247,12 +247,12 @@
         """Pauses the response that is being passed on, while the client does not read."""
         super().pause_writing()
         if self.open_number is not None and self.upstream_exchange is not None:
-            self.upstream_exchange.flow(self.open_number, False)
+            self.upstream_exchange.set_reading(self.open_number, False)
 
     def resume_writing(self) -> None:
         """Lets the response go on, and the next request begin."""
         if self.open_number is not None and self.upstream_exchange is not None:
-            self.upstream_exchange.flow(self.open_number, True)
+            self.upstream_exchange.set_reading(self.open_number, True)
         super().resume_writing()
 
     def send_final(self, final: FinalAnswer, retry_after_ms: float) -> None:
--- a/gladewalk/web/streaming.py
+++ b/gladewalk/web/streaming.py
@@ -58,11 +58,11 @@
         """Whether a part of a response has gone to the request's client."""
         return opened.number in self.streams
 
-    def flow(self, number: int, on: bool) -> None:
+    def set_reading(self, number: int, on: bool) -> None:
         """Pauses or resumes (`on`) the response that is being passed on, as the client's buffer fills."""
         attempt = self.streams.get(number)
         if attempt is not None:
-            self._set_flow(attempt, on)
+            self._set_reading(attempt, on)
 
     def response_started(self, attempt: Attempt, head: ResponseHead) -> bool:
         """Holds a response, or begins to pass it on; False if it is not wanted and the attempt was ended."""
