--- a/gladewalk/core/__init__.py
+++ b/gladewalk/core/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange, its types, deadlines and counters: what every request passes through."""
+"""The exchange, which every request passes through, with its types, clocks, deadlines, counters and logs."""
--- a/gladewalk/core/clocks.py
+++ b/gladewalk/core/clocks.py
@@ -1,12 +1,12 @@
 """The two clocks of a director, and the conversions between them.
 
-Every deadline, timer, window, backoff, ramp and grace is a span of real time and is measured by the steady
-clock, which runs with the machine's monotonic clock. It is anchored once, at its creation, to Unix time, so
-that its readings are Unix milliseconds as long as the wall clock is not stepped.
+Every deadline, timer, window, backoff, ramp and grace period is a duration of real time and is measured by
+the steady clock, which follows the machine's monotonic clock. The steady clock is set to Unix time once, when
+it is created, so that its readings are Unix milliseconds as long as the wall clock is not stepped.
 
-The wall clock may be stepped, forward or back, at any time. It is read only where an instant comes from or
-goes to another machine; its readings are `UnixInstant`s, which cannot be added to or compared with readings
-of the steady clock. `InstantConverter` is the one place where they meet.
+The wall clock may be stepped, forward or back, at any time. It is read only for instants that are received
+from or sent to another machine. Its readings are `UnixInstant`s, which cannot be added to or compared with
+readings of the steady clock; only `InstantConverter` converts between the two.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from dataclasses import dataclass
 
 SteadyClock = Callable[[], float]
-"""Returns steady milliseconds: Unix time at the anchor, and real time since then."""
+"""Returns steady milliseconds: Unix time when the clock was created, plus the real time since then."""
 
 MAX_REMEMBERED_INSTANTS = 16_384
-"""Bounds the memory of `InstantConverter`."""
+"""Limits the memory of `InstantConverter`: beyond this number the oldest converted instant is forgotten."""
 
 MIN_STEP_MS = 50.0
-"""Differences between the clocks up to this are drift and the time between two readings, not a step."""
+"""A difference between the clocks up to this is drift or the time between two readings, and not a step."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -41,7 +41,7 @@
 
 
 class AnchoredClock:
-    """A steady clock: the monotonic clock, shifted once so that it reads Unix milliseconds at the start."""
+    """A steady clock: the monotonic clock, shifted once so that it reads Unix milliseconds when created."""
 
     def __init__(self) -> None:
         self._anchor_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
@@ -54,11 +54,12 @@
 class InstantConverter:
     """Converts instants of other machines to steady time, and the present to an instant for them.
 
-    After a step the wall clock and the steady clock disagree, and nothing tells which of them is right. An
-    instant is then taken to be as young as either of them says, and never to lie in the future: a purge that
-    is taken to be younger than it is costs a fill, a server taken to have started later gets a colder budget;
-    the reverse would serve a stale copy or overload a cold server. An instant is converted once: the same
-    one, told again after a step, still is the same.
+    After a step the wall clock and the steady clock disagree, and it is unknown which of them is right. An
+    instant is then converted to the more recent of the two possible times, but never to a future one. A purge
+    that is taken to be more recent than it is costs an unnecessary fill, and a server that is taken to have
+    started later gets a smaller slow-start budget. The opposite error would serve a stale copy or overload a
+    cold server. Each instant is converted once and the result is kept, so that the same instant, received
+    again after a step, is converted to the same time.
     """
 
     def __init__(self, clock: SteadyClock, wall_clock: WallClock) -> None:
@@ -66,21 +67,21 @@
         self._converted: dict[UnixInstant, float] = {}
 
     def step_ms(self) -> float:
-        """Returns how far the wall clock has been stepped since the anchor, 0 for none."""
+        """Returns how far the wall clock has been stepped since the steady clock was created, 0 if not."""
         step_ms = self._wall_clock().unix_ms - self._clock()
         return step_ms if abs(step_ms) > MIN_STEP_MS else 0.0
 
     def to_steady(self, instant: UnixInstant) -> float:
-        """Returns an instant of another machine in steady milliseconds, at most the present."""
+        """Returns an instant of another machine in steady milliseconds, at most the current time."""
         steady_ms = self._converted.get(instant)
         if steady_ms is None:
-            youngest_ms = max(instant.unix_ms, instant.unix_ms - self.step_ms())
-            steady_ms = min(self._clock(), youngest_ms)
+            latest_ms = max(instant.unix_ms, instant.unix_ms - self.step_ms())
+            steady_ms = min(self._clock(), latest_ms)
             if len(self._converted) >= MAX_REMEMBERED_INSTANTS:
                 del self._converted[next(iter(self._converted))]
             self._converted[instant] = steady_ms
         return steady_ms
 
     def now(self) -> UnixInstant:
-        """Returns the present for another machine, as late as either clock says."""
+        """Returns the current instant to send to another machine: the later of the two clocks' readings."""
         return UnixInstant(max(self._clock(), self._wall_clock().unix_ms))
--- a/gladewalk/core/counters.py
+++ b/gladewalk/core/counters.py
@@ -6,12 +6,12 @@
 
 
 class Counters(Counter[str]):
-    """Counts by name, `part.what` as in `requests.taken`; a name never counted reads as 0."""
+    """Counts by name in the form `part.event`, such as `requests.taken`; an unknown name reads as 0."""
 
     def add(self, name: str, amount: int = 1) -> None:
         """Adds to a counter."""
         self[name] += amount
 
     def report(self) -> dict[str, int]:
-        """Returns all counters in order of their names."""
+        """Returns all counters, sorted by name."""
         return dict(sorted(self.items()))
--- a/gladewalk/core/deadlines.py
+++ b/gladewalk/core/deadlines.py
@@ -1,4 +1,4 @@
-"""The timer queue: one sorted structure that holds every deadline of the program."""
+"""The timer queue: one sorted structure with every deadline of the process."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 from sortedcontainers import SortedDict
 
-DeadlineKey = tuple[float, int]  # when it is due in Unix ms, and a serial number
+DeadlineKey = tuple[float, int]  # the due time in Unix ms, and a serial number
 
 
 class Deadlines:
-    """Calls due at given times (Unix ms), in order of time, then of addition.
+    """Scheduled calls, ordered by due time (Unix ms), then by the order in which they were added.
 
-    The owner of the event loop arms one timer for the earliest (`rearm`) and calls `sweep` when it fires.
+    `rearm` has the owner of the event loop arm one timer for the earliest call; the owner calls `sweep` when
+    that timer fires.
     """
 
     def __init__(self, rearm: Callable[[float], None]) -> None:
         self._due: SortedDict[DeadlineKey, Callable[[], None]] = SortedDict()
         self._rearm = rearm
         self._last_serial = 0
-        self.max_call_delay_ms = 0.0  # the longest that any call has run past its time
+        self.max_call_delay_ms = 0.0  # the longest delay of any call past its due time
 
     def add(self, when_ms: float, call: Callable[[], None]) -> DeadlineKey:
-        """Schedules a call; the key cancels it (`drop`)."""
+        """Schedules a call and returns the key with which `drop` cancels it."""
         self._last_serial += 1
         key = (when_ms, self._last_serial)
         self._due[key] = call
@@ -31,21 +32,21 @@
         return key
 
     def drop(self, key: DeadlineKey | None) -> None:
-        """Cancels a call; without effect for None and for one that has run."""
+        """Cancels a call; has no effect for None or for a call that has already run."""
         if key is not None:
             self._due.pop(key, None)
 
     def sweep(self, now_ms: float) -> None:
-        """Runs all calls due by now; what a call adds waits for the next sweep, even if it is due.
+        """Runs all calls that are due; calls added meanwhile run in the next sweep, even if already due.
 
-        An exception from one call propagates, but neither the other calls nor the timer are lost with it.
+        An exception from one call propagates; the other calls stay scheduled and the timer is armed for them.
         """
-        if self._due and (late_ms := now_ms - self._due.peekitem(0)[0][0]) > self.max_call_delay_ms:
-            self.max_call_delay_ms = late_ms
+        if self._due and (delay_ms := now_ms - self._due.peekitem(0)[0][0]) > self.max_call_delay_ms:
+            self.max_call_delay_ms = delay_ms
         try:
             for key in list(self._due.irange(maximum=(now_ms, self._last_serial))):
                 call = self._due.pop(key, None)
-                if call is not None:  # else cancelled by one that ran before it
+                if call is not None:  # None if a call that ran before it has cancelled it
                     call()
         finally:
             if self._due:
--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -1,8 +1,9 @@
 """The exchange: open requests, their attempts, and the calls of the decision module.
 
-The exchange knows no wire format. It hands events to the module, carries out the module's actions, keeps the
-deadlines, and guarantees by itself that every accepted request gets exactly one final answer. It owns the
-invariant of `response_buffer`: bytes of a response go to a client only when the director can finish it.
+The exchange is independent of wire formats. It passes events to the decision module, carries out the actions
+of the module and enforces the deadlines. It guarantees, whatever the module does, that every accepted request
+gets exactly one final answer. It also maintains the invariant of `response_buffer`: bytes of a response are
+sent to a client only when the director can finish it.
 """
 
 from __future__ import annotations
@@ -38,8 +39,8 @@
     "ResponseHead", "ResponseWriter", "UpstreamPool",
 ]  # fmt: skip
 
-LOOP_ITERATION_MS = 20.0  # a usual turn of the event loop is shorter: whatever came before it has been read
-ANSWER_MARGIN_MS = 60.0  # a final answer leaves this long before its deadline, as a busy loop may be late
+LOOP_ITERATION_MS = 20.0  # longer than a usual event-loop iteration: earlier input has been read
+ANSWER_MARGIN_MS = 60.0  # a final answer is due this long before the deadline, as a busy loop adds delay
 
 
 class Exchange:
@@ -57,21 +58,21 @@
         self.clock, self.deadlines, self.counters, self.log = clock, deadlines, counters, log
         self.upstreams: UpstreamPool | None = None
         self.open_requests: dict[int, OpenRequest] = {}
-        self.unanswered_count = 0  # requests without their final answer
+        self.unanswered_count = 0  # requests that have no final answer yet
         self.resolutions = Resolutions(self.dispatcher, clock, deadlines, counters, self.handle_event)
         self._last_number = 0
         self._events: deque[api.Event] = deque()
         self._is_handling = False
         self._finished: list[int] = []
-        self.final_deadline_ms = math.inf  # when every request is answered, whatever its client's patience
-        self.buffered_requests: list[OpenRequest] | None = None  # accepted, not yet shown to the module
+        self.final_deadline_ms = math.inf  # the latest time for any final answer, set at shutdown
+        self.buffered_requests: list[OpenRequest] | None = None  # accepted, not yet passed to the module
         self.request_log = RequestLog(clock, counters)
         self.response_budget = ResponseBudget(budget_bytes(config.memory_limit_mb), self._set_reading)
 
     # Called by the client side.
 
     def submit(self, request: ClientRequest, client: ResponseWriter) -> int:
-        """Accepts a request; returns the number by which the client side refers to it."""
+        """Accepts a request; returns the number that identifies it in later calls."""
         self._last_number += 1
         now, number = self.clock(), self._last_number
         opened = self.open_requests[number] = OpenRequest(
@@ -85,7 +86,7 @@
         if self.buffered_requests is not None:
             self.buffered_requests.append(opened)
         else:
-            self._offer(opened, now)
+            self._pass_to_module(opened, now)
         return number
 
     def answer_all_by(self, when_ms: float) -> None:
@@ -95,7 +96,7 @@
             if opened.deadline_ms > when_ms:
                 opened.deadline_ms = when_ms
                 self.deadlines.drop(opened.timer)
-                opened.timer = self.deadlines.add(when_ms, lambda opened=opened: self._cut_short(opened))  # type: ignore[misc]
+                opened.timer = self.deadlines.add(when_ms, lambda opened=opened: self._fail_at_stop(opened))  # type: ignore[misc]
 
     def buffer_requests(self) -> None:
         """Buffers new requests until `release_buffered_requests`, as the module may have a stale server list.
@@ -106,14 +107,14 @@
             self.buffered_requests = []
 
     def release_buffered_requests(self) -> None:
-        """Shows the module the requests held, in order of arrival, with the time that they have left now."""
-        held, self.buffered_requests = self.buffered_requests or [], None
+        """Passes buffered requests to the module in order of arrival, with the time that each has left."""
+        buffered, self.buffered_requests = self.buffered_requests or [], None
         now = self.clock()
-        for opened in held:
+        for opened in buffered:
             if not opened.is_answered:
-                self._offer(opened, now)
+                self._pass_to_module(opened, now)
 
-    def _offer(self, opened: OpenRequest, now: float) -> None:
+    def _pass_to_module(self, opened: OpenRequest, now: float) -> None:
         request = opened.request
         self.handle_event(
             api.Request(
@@ -131,7 +132,7 @@
         )
 
     def client_disconnected(self, number: int) -> None:
-        """Ends a request whose client has gone: no answer is owed, and its attempts are cancelled."""
+        """Ends a request whose client has disconnected: it gets no answer and its attempts are cancelled."""
         opened = self.open_requests.get(number)
         if opened is None or opened.is_answered:
             return
@@ -144,19 +145,20 @@
         self,
         responder: ResolveResponder,
         max_wait_ms: float,
-        make_question: Callable[[int], api.ResolveRequest],
+        make_request: Callable[[int], api.ResolveRequest],
     ) -> None:
-        """Asks the module where to fetch an object; `responder` gets one answer, within `max_wait_ms`."""
+        """Has the module name the servers of an object; `responder` gets one answer in `max_wait_ms`."""
         self._last_number += 1
-        self.resolutions.add(make_question(self._last_number), responder, max_wait_ms)
+        self.resolutions.add(make_request(self._last_number), responder, max_wait_ms)
 
     # Called by the server side.
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still be sent; asked just before its first byte is written.
+        """Whether an attempt may still be sent; called just before its first byte is written.
 
-        Avoids work for a client that disconnected while its request waited: the end of its connection may lie
-        unread behind a long turn of the loop, so the socket is asked once a request is older than a turn.
+        Avoids work for a client that disconnected while its request waited. After a long event-loop iteration
+        the end of the client's connection may still be unread; therefore the state of the socket is checked
+        if the request is older than a usual iteration.
         """
         opened, now = attempt.open_request, self.clock()
         waited_long = now > opened.received_ms + LOOP_ITERATION_MS
@@ -165,14 +167,14 @@
         return not opened.is_answered and self.dispatcher.may_write(opened.number, attempt.number, now)
 
     def response_started(self, attempt: Attempt, head: ResponseHead) -> bool:
-        """Begins to hold a successful response; False if it is not wanted and the attempt was ended."""
+        """Begins to buffer a successful response; False if it is not needed and its attempt was cancelled."""
         opened = attempt.open_request
         if opened.is_answered:
             self._cancel(attempt)
             return False
         response = attempt.response = ResponseBuffer(head)
         self.request_log.note(opened, "response_started", attempt.number, head.content_length)
-        # The attempt's own timeout must not end a response midway: it has until its client's deadline.
+        # The attempt's own timeout must not end a response that has begun; the client's deadline applies.
         self.deadlines.drop(attempt.timer)
         attempt.timer = None
         if not self.response_budget.admit(attempt, response):
@@ -181,12 +183,12 @@
         return True
 
     def response_body(self, attempt: Attempt, data: bytes) -> None:
-        """Holds a piece of the body."""
+        """Buffers a piece of the body."""
         if attempt.response is not None:
             attempt.response.pieces.append(data)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Records an attempt's end, answers its client if its response is whole, and tells the module."""
+        """Records an attempt's end, sends the response if it is complete, and notifies the module."""
         opened = attempt.open_request
         if opened.attempts.pop(attempt.number, None) is None:
             return
@@ -210,7 +212,7 @@
         )
 
     def _take_response(self, attempt: Attempt, status: api.Status) -> None:
-        """Sends the response of an attempt that has ended to its client if it is whole, else drops it."""
+        """Sends an ended attempt's response to the client if it is complete, otherwise discards it."""
         opened, response = attempt.open_request, attempt.response
         attempt.response = None
         if response is None:
@@ -224,7 +226,7 @@
             self.response_budget.release(response)
 
     def _deliver(self, opened: OpenRequest, response: ResponseBuffer) -> None:
-        """Answers a request by a response that is complete."""
+        """Sends a complete response to the client as the final answer."""
         self.counters.add("answers.served")
         self.counters.add(outcome_counter(opened.request.class_name, Outcome.COMPLETED))
         self._close(opened)
@@ -236,7 +238,7 @@
     def update_servers(
         self, event: api.EndpointList, addresses: dict[str, Address | None], models: Mapping[str, str]
     ) -> None:
-        """Takes a watch event: addresses to the pool, servers to the module."""
+        """Applies a watch event: addresses go to the connection pool, servers to the module."""
         if self.upstreams is not None:
             if event.kind is not api.EndpointListKind.DELTA:
                 self.upstreams.keep_only(addresses)
@@ -245,15 +247,15 @@
         self.handle_event(event)
 
     def purge(self, event: api.Purge) -> None:
-        """Takes a purge of an object or a group."""
+        """Passes a purge of an object or a group to the module."""
         self.handle_event(event)
 
     # The decision module.
 
     def handle_event(self, event: api.Event) -> None:
-        """Hands an event to the module and carries out its actions.
+        """Passes an event to the module and carries out the resulting actions.
 
-        Not recursive: events that an action causes at once are queued until the action is done.
+        Not recursive: an event that is caused during an action is queued until the action is done.
         """
         self._events.append(event)
         if self._is_handling:
@@ -288,7 +290,7 @@
                 assert self.upstreams is not None
                 maintain_server(action, self.upstreams, self.counters, self.handle_event)
             case api.NotifyPeers() | api.Watch() | api.FetchEndpoints():
-                self.counters.add("module.action_without_use")  # no peers here, and the list is pushed
+                self.counters.add("module.action_without_use")  # no peers exist; the endpoint list is pushed
 
     def _answer_resolution(self, action: api.Resolved) -> None:
         assert self.upstreams is not None
@@ -309,20 +311,20 @@
         timer = api.Timer(action.token)
         self.deadlines.add(self.clock() + action.delay_ms, lambda: self.handle_event(timer))
 
-    def _start(self, order: api.Lookup | api.Fetch) -> None:
+    def _start(self, action: api.Lookup | api.Fetch) -> None:
         assert self.upstreams is not None
-        opened, now = self.open_requests[order.id], self.clock()
+        opened, now = self.open_requests[action.id], self.clock()
         deadline_ms = opened.deadline_ms
-        has_own_timeout = 0.0 < order.timeout_ms < deadline_ms - now
+        has_own_timeout = 0.0 < action.timeout_ms < deadline_ms - now
         if has_own_timeout:
-            deadline_ms = now + order.timeout_ms
-        attempt = Attempt(opened, opened.attempt_count, order, now, deadline_ms)
+            deadline_ms = now + action.timeout_ms
+        attempt = Attempt(opened, opened.attempt_count, action, now, deadline_ms)
         opened.attempt_count += 1
         opened.attempts[attempt.number] = attempt
-        self.request_log.note(opened, "attempt", attempt.number, order.server, type(order).__name__)
-        if opened.is_answered:  # its end is among the events that the module has yet to see
+        self.request_log.note(opened, "attempt", attempt.number, action.server, type(action).__name__)
+        if opened.is_answered:  # the module has not handled the event of its end yet
             return self.attempt_ended(attempt, AttemptResult(api.Status.NOT_SENT))
-        if has_own_timeout:  # else the request's own deadline ends it
+        if has_own_timeout:  # otherwise the request's own deadline ends it
             attempt.timer = self.deadlines.add(deadline_ms, lambda: self._stop(attempt, api.Status.TIMEOUT))
         self.upstreams.start(attempt)
 
@@ -352,29 +354,29 @@
         opened.client.send_final(final, retry_after_ms)
         self._forget(opened)
 
-    def _cut_short(self, opened: OpenRequest) -> None:
-        """Fails a request at shutdown, before the deadline that the module knows and would retry until."""
+    def _fail_at_stop(self, opened: OpenRequest) -> None:
+        """Fails a request at shutdown, before its own deadline, until which the module would retry."""
         if not opened.is_answered:
             self.counters.add("requests.ended_by_stop")
             self._finish(opened.number, FinalAnswer.FAILED, "shutdown")
             self._cancel_all(opened)
 
     def _cancel_all(self, opened: OpenRequest) -> None:
-        """Tells the module that a request is over and cancels its attempts."""
+        """Notifies the module that a request has ended, and cancels its attempts."""
         self.handle_event(api.ClientDisconnected(opened.number))
         for attempt in list(opened.attempts.values()):
             self._cancel(attempt)
 
     def _request_timed_out(self, opened: OpenRequest) -> None:
-        """Ends all attempts at the client's deadline, on which the module gives its final answer.
+        """Ends all attempts at the request's deadline, after which the module decides the final answer.
 
-        A request that is still unanswered then is failed here: every request gets an answer. A response that
-        is arriving has the client's whole time, without the margin.
+        If the request still has no final answer then, it fails here, as every request must get one. A response
+        that is being received has the client's whole time, without `ANSWER_MARGIN_MS`.
         """
         self.request_log.note(opened, "deadline")
         last_ms = min(opened.received_ms + opened.request.max_wait_ms, self.final_deadline_ms)
-        is_arriving = any(attempt.response is not None for attempt in opened.attempts.values())
-        if is_arriving and self.clock() < last_ms:
+        is_receiving = any(attempt.response is not None for attempt in opened.attempts.values())
+        if is_receiving and self.clock() < last_ms:
             opened.deadline_ms = last_ms
             opened.timer = self.deadlines.add(last_ms, lambda: self._request_timed_out(opened))
             return
@@ -391,6 +393,6 @@
         self.deadlines.drop(opened.timer)
 
     def _forget(self, opened: OpenRequest) -> None:
-        """Marks a request whose attempts have ended; it is removed once the module has handled its events."""
+        """Marks an ended request without attempts, to be removed once the module has handled its events."""
         if opened.is_answered and not opened.attempts:
             self._finished.append(opened.number)
--- a/gladewalk/core/memory_tuning.py
+++ b/gladewalk/core/memory_tuning.py
@@ -1,4 +1,4 @@
-"""What a director leaves out of its memory: it may have as little as 32 MB."""
+"""Keeps unneeded libraries out of a director's memory, which may be limited to as little as 32 MB."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 
 def block_rich_import() -> None:
-    """Guards against structlog, which imports rich wherever it is: only the command line's tables need it.
+    """Prevents structlog from importing rich, which it does if rich is installed.
 
-    To be called by a process that becomes a director, before anything imports structlog.
+    Only the tables of the command line need rich. A process that runs a director calls this before anything
+    imports structlog.
     """
     sys.modules.setdefault("rich", None)  # type: ignore[arg-type]
--- a/gladewalk/core/outcome_counters.py
+++ b/gladewalk/core/outcome_counters.py
@@ -8,7 +8,7 @@
 
 
 class Outcome(StrEnum):
-    """How a client's request ends; counters' names and metrics are made of the values."""
+    """How a client's request ends; the values are part of the names of counters and metrics."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -16,5 +16,5 @@
 
 
 def outcome_counter(class_name: str, outcome: Outcome) -> str:
-    """Returns the name of the counter of a class's requests that end so."""
-    return OUTCOME_PREFIX + class_name + "." + outcome  # called for every request: formatting an Enum is slow
+    """Returns the name of the counter of a class's requests that have this outcome."""
+    return OUTCOME_PREFIX + class_name + "." + outcome  # runs for every request; formatting an Enum is slow
--- a/gladewalk/core/request_log.py
+++ b/gladewalk/core/request_log.py
@@ -1,8 +1,8 @@
-"""The request log: what happened to a request, step by step, and one line for each that ends badly.
+"""The request log: one line for each request that fails, is rejected or cut, with the steps that led to it.
 
-Steps are noted on the request itself and cost an append; a line is made only where the director ends a
-request without a server's response. Lines are limited in rate, so that an overload does not write more than
-it serves; what the limit drops is counted.
+Each step is appended to a list of the request. A line is formatted only if the director ends a request
+without a server's response. The rate of lines is limited, so that an overloaded director does not write more
+log lines than responses; lines over the limit are dropped and counted.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from .exchange_types import OpenRequest
 
 LINES_PER_S = 20.0
-"""The rate of lines that is sustained."""
+"""Lines per second that may be written continuously."""
 
 MAX_BURST_LINES = 60.0
-"""Lines that may be written at once after a quiet time."""
+"""Lines that may be written at once after a time with no lines."""
 
 MAX_STEPS = 64
-"""Steps kept of one request; later ones are dropped."""
+"""Steps recorded for one request; later ones are dropped."""
 
 
 class RequestLog:
-    """Notes the steps of requests and writes a line for each request that ends badly.
+    """Records the steps of requests and writes a line for each one that fails, is rejected or cut.
 
     Attributes:
-        emit: Writes a line, given its event's name and its fields; None: nothing is written.
+        emit: Writes a line, given the name of its event and its fields; None if nothing is to be written.
     """
 
     def __init__(self, clock: Callable[[], float], counters: Counters) -> None:
@@ -37,17 +37,17 @@
         self._lines = TokenBucket(MAX_BURST_LINES, LINES_PER_S, clock())
 
     def note(self, opened: OpenRequest, step: str, *details: object) -> None:
-        """Notes a step of a request: what happened, and to which attempt, server or status."""
+        """Records a step of a request and its details, such as the attempt, the server or the status."""
         if len(opened.steps) < MAX_STEPS:
             opened.steps.append((self._clock() - opened.received_ms, step, details))
 
     def ended(self, opened: OpenRequest, end: str, reason: str) -> None:
-        """Writes the line of a request that ended badly.
+        """Writes the line of a request that ended without a server's complete response.
 
         Args:
             opened: The request.
             end: How it ended for its client: `failed`, `rejected` or `cut`.
-            reason: What ended it.
+            reason: Why it ended.
         """
         if self.emit is None or not self._take_token():
             return
@@ -64,23 +64,23 @@
         )
 
     def connection_closed(self, reason: str, trace_id: str | None, unanswered: int) -> None:
-        """Writes the line of a client's connection that the director closes over input or a request.
+        """Writes the line of a client connection that is closed despite unread input or an open request.
 
         Args:
             reason: Why it is closed.
-            trace_id: Of the request that is open on it; None: only input is unread.
-            unanswered: Requests that were read and not submitted.
+            trace_id: The id of the request that is open on it; None if there is none.
+            unanswered: The number of requests that were read but not submitted.
         """
         if self.emit is not None and self._take_token():
             self.emit("client_closed", reason=reason, id=trace_id, unanswered=unanswered)
 
     def surplus_read(self, server: str, trace_id: str, lateness_ms: float) -> None:
-        """Writes the line of bytes that a server sent behind a complete response.
+        """Writes the line of surplus bytes, which a server sent after a complete response.
 
         Args:
             server: The server's name.
-            trace_id: Of the request that the response answered; empty: a health check.
-            lateness_ms: How long after the response's end they were read.
+            trace_id: The id of the request that the response belongs to; empty for a health check.
+            lateness_ms: The time from the end of the response until the surplus bytes were read.
         """
         if self.emit is not None and self._take_token():
             self.emit("surplus_read", server=server, id=trace_id, late_ms=round(lateness_ms, 1))
--- a/gladewalk/core/resolutions.py
+++ b/gladewalk/core/resolutions.py
@@ -1,4 +1,4 @@
-"""Open resolve requests: which servers a resolver's clients fetch an object from, each answered once."""
+"""Open resolve requests, which ask for the servers to fetch an object from. Each gets one answer."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True)
 class OpenResolution:
-    """A resolve request without its answer."""
+    """A resolve request that has no answer yet."""
 
-    question: api.ResolveRequest
+    request: api.ResolveRequest
     responder: ResolveResponder
     timer: DeadlineKey
 
 
 class Resolutions:
-    """Holds open resolve requests by number, and gives each one answer, by its deadline at the latest."""
+    """Keeps open resolve requests by number, and gives each of them one answer by its deadline."""
 
     def __init__(
         self,
@@ -38,29 +38,29 @@
     ) -> None:
         self.dispatcher, self.clock, self.deadlines, self.counters = dispatcher, clock, deadlines, counters
         self.open: dict[int, OpenResolution] = {}
-        # Calls back once what an answer promises is durable; None: answers go out at once.
+        # Makes the leases of an answer durable, then calls back; None: answers are sent at once.
         self.persist: PersistResolution | None = None
         self._handle_event = handle_event
 
-    def add(self, question: api.ResolveRequest, responder: ResolveResponder, max_wait_ms: float) -> None:
-        """Puts a question to the module; `responder` gets one answer within `max_wait_ms`."""
-        number = question.id
+    def add(self, request: api.ResolveRequest, responder: ResolveResponder, max_wait_ms: float) -> None:
+        """Passes a request to the decision module; `responder` gets one answer within `max_wait_ms`."""
+        number = request.id
         self.counters.add("locates.taken")
         timer = self.deadlines.add(self.clock() + max_wait_ms, lambda: self._timed_out(number))
-        self.open[number] = OpenResolution(question, responder, timer)
-        self._handle_event(question)
+        self.open[number] = OpenResolution(request, responder, timer)
+        self._handle_event(request)
 
     def answer(self, action: api.Resolved, address_of: AddressOf) -> None:
-        """Passes on the module's answer, after it is persisted where there is a store."""
+        """Sends the module's answer; if there is a store, only after the answer has been persisted."""
         if action.id not in self.open:
             return
         if self.persist is None or not action.servers:
             return self._answer_now(action, address_of)
-        question = self.open[action.id].question
-        self.persist(question, action.servers, lambda: self._answer_now(action, address_of))
+        request = self.open[action.id].request
+        self.persist(request, action.servers, lambda: self._answer_now(action, address_of))
 
     def reject(self, number: int) -> None:
-        """Answers that no server can be named now."""
+        """Answers that no server is available at the moment."""
         resolution = self.open.pop(number)
         self.deadlines.drop(resolution.timer)
         resolution.responder.rejected()
@@ -71,13 +71,15 @@
         self._handle_event(api.ClientDisconnected(number))
 
     def _answer_now(self, action: api.Resolved, address_of: AddressOf) -> None:
-        if action.id not in self.open:  # it timed out while its lease was written
+        if action.id not in self.open:  # the request timed out while its lease was being written
             return
         resolution = self.open[action.id]
         servers = []
         for server in action.servers:
-            if not self.dispatcher.may_resolve_to(resolution.question, server):
-                return self._handle_event(resolution.question)  # drained or purged since: decided again
+            if not self.dispatcher.may_resolve_to(resolution.request, server):
+                return self._handle_event(
+                    resolution.request
+                )  # a drain or purge since then requires a new decision
             if (address := address_of(server)) is not None:
                 servers.append((server, address))
         del self.open[action.id]
--- a/gladewalk/core/response_buffer.py
+++ b/gladewalk/core/response_buffer.py
@@ -1,12 +1,12 @@
-"""Responses held whole before their first byte goes to a client, within a budget of memory.
+"""Buffers whole responses within a memory budget; sending one to a client starts when it is complete.
 
-The invariant of the exchange: bytes of a response go to a client only when the director can finish it. A
-response that breaks off, stalls or comes too late is never seen by the client, and its request still gets
-another attempt or a final answer of the director's own.
+Invariant of the exchange: bytes of a response are sent to a client only when the director can finish it.
+The client sees nothing of a response that breaks off, stalls or misses its deadline, and its request still
+gets another attempt or a final answer from the director.
 
-The budget never cuts a response: one for which there is no room waits with its server's connection paused
-(backpressure), and goes on in order of arrival as room is made. A response is admitted with its full size, so
-that each admitted one can be completed.
+The budget never truncates a response. If there is no room for a response, the director pauses reading from
+the server's connection (backpressure) and resumes in order of arrival as room becomes available. A response
+reserves its full size when it is admitted, so that each admitted response can be completed.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     from .exchange_types import Attempt, ResponseHead
 
 MAX_OBJECT_BYTES = 240_000
-"""The largest object: a longer response is invalid, one of unknown length reserves as much of the budget."""
+"""The largest object. A longer response is invalid; a response of unknown length reserves this size."""
 
-PROGRAM_MB = 30.0
-"""Memory that a director needs beside the responses it holds."""
+BASE_MEMORY_MB = 30.0
+"""Memory that a director needs apart from buffered responses."""
 
 BUDGET_FRACTION = 0.25
-"""Part of the memory over `PROGRAM_MB` that responses may take."""
+"""Fraction of the memory beyond `BASE_MEMORY_MB` that buffered responses may use."""
 
 MIN_BUDGET_BYTES = 1_000_000
 MAX_BUDGET_BYTES = 64_000_000
@@ -33,19 +33,19 @@
 
 
 def budget_bytes(memory_limit_mb: float) -> int:
-    """Returns how many bytes of responses may be held under a limit on the process's memory."""
-    spare_bytes = (memory_limit_mb - PROGRAM_MB) * BYTES_PER_MB * BUDGET_FRACTION
+    """Returns how many bytes of responses may be buffered, given the limit on the process's memory."""
+    spare_bytes = (memory_limit_mb - BASE_MEMORY_MB) * BYTES_PER_MB * BUDGET_FRACTION
     return int(min(MAX_BUDGET_BYTES, max(MIN_BUDGET_BYTES, spare_bytes)))
 
 
 @dataclass(slots=True, eq=False)
 class ResponseBuffer:
-    """The response of one attempt, as much of it as has arrived.
+    """The part of one attempt's response that has been received so far.
 
     Attributes:
-        head: Its head.
-        pieces: Its body, in the order of arrival.
-        reserved_bytes: What it has of the budget; 0 while it waits for room.
+        head: The head of the response.
+        pieces: The body, in pieces as received.
+        reserved_bytes: Bytes reserved in the budget; 0 while the response waits for room.
     """
 
     head: ResponseHead
@@ -53,29 +53,29 @@
     reserved_bytes: int = 0
 
     def needed_bytes(self) -> int:
-        """Returns what the whole body may take."""
+        """Returns the largest size that the whole body may have."""
         if self.head.is_not_modified:
             return 0
         length = self.head.content_length
         return MAX_OBJECT_BYTES if length is None else length
 
     def received_bytes(self) -> int:
-        """Returns how many bytes of the body have arrived."""
+        """Returns how many bytes of the body have been received."""
         return sum(map(len, self.pieces))
 
 
 class ResponseBudget:
-    """Bounds the bytes of all responses that are held, until their clients have taken them."""
+    """Limits the total size of buffered responses; a response counts until its client has read it."""
 
     def __init__(self, limit_bytes: int, set_reading: Callable[[Attempt, bool], None]) -> None:
-        """`set_reading` pauses (False) or resumes reading an attempt's response."""
+        """`set_reading` pauses (False) or resumes (True) reading an attempt's response."""
         self.limit_bytes = limit_bytes
         self.used_bytes = 0
-        self.waiting: dict[Attempt, ResponseBuffer] = {}  # paused, in order of arrival
+        self.waiting: dict[Attempt, ResponseBuffer] = {}  # paused responses, in order of arrival
         self._set_reading = set_reading
 
     def admit(self, attempt: Attempt, response: ResponseBuffer) -> bool:
-        """Reserves a response's size, or pauses it until there is room; returns whether it was admitted."""
+        """Reserves a response's size, or pauses the response until there is room; True if it was admitted."""
         if not self.waiting and self._reserve(response):
             return True
         self.waiting[attempt] = response
@@ -83,11 +83,11 @@
         return False
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends the wait of an attempt that has ended."""
+        """Removes an attempt that has ended from those that wait for room."""
         self.waiting.pop(attempt, None)
 
     def release(self, response: ResponseBuffer) -> None:
-        """Gives a response's bytes back; what waits for room goes on."""
+        """Returns a response's bytes to the budget and resumes waiting responses that now have room."""
         self.used_bytes -= response.reserved_bytes
         response.reserved_bytes = 0
         while self.waiting:
@@ -100,7 +100,7 @@
     def _reserve(self, response: ResponseBuffer) -> bool:
         needed = response.needed_bytes()
         if self.used_bytes + needed > self.limit_bytes and self.used_bytes > 0:
-            return False  # alone, one of any size is admitted
+            return False  # a response of any size is admitted if no other is buffered
         self.used_bytes += needed
         response.reserved_bytes = needed
         return True
--- a/gladewalk/core/server_maintenance.py
+++ b/gladewalk/core/server_maintenance.py
@@ -1,4 +1,4 @@
-"""Carries out health checks, and closes idle connections, as the decision module asks."""
+"""Sends health checks and closes idle connections at the request of the decision module."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     counters: Counters,
     on_event: Callable[[api.Event], None],
 ) -> None:
-    """Sends a health check, whose result goes to `on_event`, or closes the server's idle connections."""
+    """Sends a health check and passes its result to `on_event`, or closes the server's idle connections."""
     server = action.server
     if isinstance(action, api.CloseIdle):
         return upstreams.close_idle(server)
