--- a/gladewalk/core/clocks.py
+++ b/gladewalk/core/clocks.py
@@ -82,6 +82,6 @@
             self._converted[instant] = steady_ms
         return steady_ms
 
-    def now(self) -> UnixInstant:
+    def current_instant(self) -> UnixInstant:
         """Returns the current instant to send to another machine: the later of the two clocks' readings."""
         return UnixInstant(max(self._clock(), self._wall_clock().unix_ms))
--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -201,7 +201,7 @@
             api.Outcome(
                 id=opened.number,
                 attempt=attempt.number,
-                server=attempt.action.server,
+                server=attempt.decision.server,
                 status=result.status,
                 elapsed_ms=self.clock() - attempt.started_ms,
                 is_answered=opened.is_answered,
@@ -311,17 +311,17 @@
         timer = api.Timer(action.token)
         self.deadlines.add(self.clock() + action.delay_ms, lambda: self.handle_event(timer))
 
-    def _start(self, action: api.Lookup | api.Fetch) -> None:
+    def _start(self, decision: api.Lookup | api.Fetch) -> None:
         assert self.upstreams is not None
-        opened, now = self.open_requests[action.id], self.clock()
+        opened, now = self.open_requests[decision.id], self.clock()
         deadline_ms = opened.deadline_ms
-        has_own_timeout = 0.0 < action.timeout_ms < deadline_ms - now
+        has_own_timeout = 0.0 < decision.timeout_ms < deadline_ms - now
         if has_own_timeout:
-            deadline_ms = now + action.timeout_ms
-        attempt = Attempt(opened, opened.attempt_count, action, now, deadline_ms)
+            deadline_ms = now + decision.timeout_ms
+        attempt = Attempt(opened, opened.attempt_count, decision, now, deadline_ms)
         opened.attempt_count += 1
         opened.attempts[attempt.number] = attempt
-        self.request_log.note(opened, "attempt", attempt.number, action.server, type(action).__name__)
+        self.request_log.note(opened, "attempt", attempt.number, decision.server, type(decision).__name__)
         if opened.is_answered:  # the module has not handled the event of its end yet
             return self.attempt_ended(attempt, AttemptResult(api.Status.NOT_SENT))
         if has_own_timeout:  # otherwise the request's own deadline ends it
@@ -368,7 +368,7 @@
             self._cancel(attempt)
 
     def _request_timed_out(self, opened: OpenRequest) -> None:
-        """Ends all attempts at the request's deadline, after which the module decides the final answer.
+        """Ends all attempts at the deadline, after which the module decides the final answer.
 
         If the request still has no final answer then, it fails here, as every request must get one. A response
         that is being received has the client's whole time, without `ANSWER_MARGIN_MS`.
--- a/gladewalk/core/exchange_types.py
+++ b/gladewalk/core/exchange_types.py
@@ -114,7 +114,7 @@
 
     open_request: OpenRequest
     number: int  # 0 for the first attempt of a request
-    action: api.Lookup | api.Fetch
+    decision: api.Lookup | api.Fetch  # of the decision module
     started_ms: float
     deadline_ms: float
     timer: DeadlineKey | None = None
--- a/gladewalk/leases/start.py
+++ b/gladewalk/leases/start.py
@@ -167,7 +167,7 @@
         report = FleetReport(
             name,
             directors,
-            incarnation=int(instants.now().unix_ms),  # a later start has the higher number
+            incarnation=int(instants.current_instant().unix_ms),  # a later start has the higher number
             stale_after_ms=STALE_REPORTS * table.report_interval_ms,
             read_counts=lambda: read_request_counts(counters),
         )
--- a/gladewalk/leases/transport.py
+++ b/gladewalk/leases/transport.py
@@ -122,7 +122,7 @@
 
     def request_purge(self, target: str) -> str:
         """Accepts an operator's purge and returns its id; raises `PurgeRejectedError` with the reason."""
-        wall_ms = self.instants.now().unix_ms
+        wall_ms = self.instants.current_instant().unix_ms
         request_id, outputs = self.holder_tasks.request_purge(target, self.clock(), wall_ms)
         self._carry_out(outputs)
         return request_id
@@ -215,5 +215,5 @@
         now_ms = self.clock()
         # The holder's tasks read each token after the candidate has expired what is over.
         outputs = self.candidate.tick(now_ms)
-        outputs += self.holder_tasks.tick(now_ms, self.instants.now().unix_ms)
+        outputs += self.holder_tasks.tick(now_ms, self.instants.current_instant().unix_ms)
         self._carry_out(outputs)
--- a/gladewalk/upstream/pool.py
+++ b/gladewalk/upstream/pool.py
@@ -134,7 +134,7 @@
 
     def start(self, attempt: Attempt) -> None:
         """Sends an attempt's request, at once or as soon as it has a connection."""
-        self._begin(attempt, attempt.action.server)
+        self._begin(attempt, attempt.decision.server)
 
     def cancel(self, attempt: Attempt) -> None:
         """Abandons an attempt silently: the exchange is not called about it any more."""
--- a/gladewalk/upstream/protocol_fields.py
+++ b/gladewalk/upstream/protocol_fields.py
@@ -36,7 +36,7 @@
 
 def request_fields(attempt: Attempt, now_ms: float) -> list[tuple[str, str]]:
     """Returns the fields of an attempt's request, without method, path and authority."""
-    request, order = attempt.open_request.request, attempt.action
+    request, order = attempt.open_request.request, attempt.decision
     remaining_ms = max(1, round(attempt.deadline_ms - now_ms))
     fields = [("X-Ticket", request.trace_id), ("X-Max-Ms", str(remaining_ms))]
     if request.idempotency_key:
--- a/gladewalk/web/streaming.py
+++ b/gladewalk/web/streaming.py
@@ -77,7 +77,7 @@
         attempt.timer = None
         _writer(opened).start_response(head)
         elapsed_ms = self.clock() - attempt.started_ms
-        self.handle_event(api.FirstByte(opened.number, attempt.number, attempt.action.server, elapsed_ms))
+        self.handle_event(api.FirstByte(opened.number, attempt.number, attempt.decision.server, elapsed_ms))
         for other in [other for other in opened.attempts.values() if other is not attempt]:
             self._cancel(other)
         return True
--- a/gladewalk/web/upstream_exchange.py
+++ b/gladewalk/web/upstream_exchange.py
@@ -72,7 +72,7 @@
     def request_written(self, attempt: Attempt) -> None:
         """Notes that an attempt's request is being written: its server may execute it from now on."""
         self._written.add(id(attempt))
-        self.config.health.request_sent(attempt.action.server)
+        self.config.health.request_sent(attempt.decision.server)
         request = attempt.open_request.request
         if isinstance(request, ProxyRequest):
             request.sent_count += 1
@@ -147,7 +147,7 @@
 
     def _record_health(self, attempt: Attempt, request: ProxyRequest, result: AttemptResult) -> None:
         """Records a result before the core is asked for a retry, which may need a backup now."""
-        health, server, now_ms = self.config.health, attempt.action.server, self.clock()
+        health, server, now_ms = self.config.health, attempt.decision.server, self.clock()
         if not health.knows(server):
             return
         has_failed = result.status in CONDITIONS and _is_failure(_condition_of(result), request.proxy)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -108,10 +108,10 @@
     step[0] = HOUR_MS  # which clock is right is not known
     assert instants.to_steady(UnixInstant(START_MS - 500.0)) == START_MS - 500.0
     assert instants.to_steady(UnixInstant(START_MS + HOUR_MS - 500.0)) == START_MS
-    assert instants.now() == UnixInstant(START_MS + HOUR_MS)
+    assert instants.current_instant() == UnixInstant(START_MS + HOUR_MS)
     step[0] = -HOUR_MS
     assert instants.to_steady(UnixInstant(START_MS - HOUR_MS - 400.0)) == START_MS - 400.0
-    assert instants.now() == UnixInstant(START_MS)
+    assert instants.current_instant() == UnixInstant(START_MS)
 
 
 def test_an_instant_that_is_told_again_after_a_step_is_the_same() -> None:
