--- a/gladewalk/net/coordinator.py
+++ b/gladewalk/net/coordinator.py
@@ -164,9 +164,9 @@
     def _restart_timer(self) -> None:
         self.deadlines.drop(self._timer)
         until_ms = min(self.feed.clock() + MAX_SILENCE_MS, self._last_usable_ms + MAX_UNUSABLE_MS)
-        self._timer = self.deadlines.add(until_ms, self._on_silence)
+        self._timer = self.deadlines.add(until_ms, self._on_heartbeat_timeout)
 
-    def _on_silence(self) -> None:
+    def _on_heartbeat_timeout(self) -> None:
         self.feed.counters.add("coordinator.silent")
         if self.connection is not None and self.connection.transport is not None:
             self.connection.transport.abort()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -80,7 +80,7 @@
         async with DirectorHarness([ScriptedServer(hit)]) as world:
             assert world.director is not None
             await wait_until(lambda: world.coordinator.followed_from == [1])
-            world.director.coordinator_watch._on_silence()  # what the deadline calls
+            world.director.coordinator_watch._on_heartbeat_timeout()  # what the deadline calls
             await wait_until(lambda: world.coordinator.followed_from == [1, 1])
 
 
