--- a/gladewalk/upstream/pool.py
+++ b/gladewalk/upstream/pool.py
@@ -134,16 +134,16 @@
 
     def start(self, attempt: Attempt) -> None:
         """Sends an attempt's request, at once or as soon as it has a connection."""
-        self._begin(attempt, attempt.order.server)
+        self._begin(attempt, attempt.decision.server)
 
     def cancel(self, attempt: Attempt) -> None:
         """Abandons an attempt silently: the exchange is not called about it any more."""
         self._cancel(attempt)
 
-    def flow(self, attempt: Attempt, on: bool) -> None:
+    def set_reading(self, attempt: Attempt, on: bool) -> None:
         """Resumes (`on`) or pauses reading an attempt's response."""
         if attempt.carrier is not None:
-            attempt.carrier.flow(attempt, on)
+            attempt.carrier.set_reading(attempt, on)
 
     def probe(
         self,
--- a/gladewalk/web/streaming.py
+++ b/gladewalk/web/streaming.py
@@ -58,11 +58,11 @@
         """Whether a part of a response has gone to the request's client."""
         return opened.number in self.streams
 
-    def flow(self, number: int, on: bool) -> None:
+    def set_reading(self, number: int, on: bool) -> None:
         """Pauses or resumes (`on`) the response that is being passed on, as the client's buffer fills."""
         attempt = self.streams.get(number)
         if attempt is not None:
-            self._set_flow(attempt, on)
+            self._set_reading(attempt, on)
 
     def response_started(self, attempt: Attempt, head: ResponseHead) -> bool:
         """Holds a response, or begins to pass it on; False if it is not wanted and the attempt was ended."""
@@ -77,7 +77,7 @@
         attempt.timer = None
         _writer(opened).start_response(head)
         elapsed_ms = self.clock() - attempt.started_ms
-        self.handle_event(api.FirstByte(opened.number, attempt.number, attempt.order.server, elapsed_ms))
+        self.handle_event(api.FirstByte(opened.number, attempt.number, attempt.decision.server, elapsed_ms))
         for other in [other for other in opened.attempts.values() if other is not attempt]:
             self._cancel(other)
         return True
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from gladewalk.core.exchange import LOOP_TURN_MS
+from gladewalk.core.exchange import LOOP_ITERATION_MS
 from gladewalk.rehearsal.director_harness import wait_until
 from gladewalk.rehearsal.http_messages import encode_request
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
@@ -46,15 +46,17 @@
             await wait_until(lambda: not director.front.connections)
             client = socket.create_connection(director.front.address)
             await wait_until(lambda: len(director.front.connections) == 1)
-            director.exchange.hold_requests()
+            director.exchange.buffer_requests()
             client.sendall(encode_request("/invoke/lot-page/a1"))
-            await wait_until(lambda: bool(director.exchange.held_requests))
+            await wait_until(lambda: bool(director.exchange.buffered_requests))
             real = director.clock
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0  # it has waited longer than a turn
+            director.exchange.clock = lambda: (
+                real() + LOOP_ITERATION_MS + 1.0
+            )  # it has waited longer than a turn
             (connection,) = director.front.connections
             client.close()  # and no turn of the loop from here on
             assert connection.is_disconnected()
-            director.exchange.release_held()
+            director.exchange.release_buffered_requests()
             await wait_until(
                 lambda: not director.exchange.open_requests and not director.connection_pool.opener.opening
             )
@@ -85,7 +87,7 @@
             (upstream,) = director.connection_pool.open_connections
             (dial,) = director.connection_pool.opener.opening
             assert isinstance(dial, ConnectionRequest) and isinstance(upstream, Http1Connection)
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0
+            director.exchange.clock = lambda: real() + LOOP_ITERATION_MS + 1.0
             client.close()
             assert connection.is_disconnected()
             director.connection_pool.write(upstream, dial.item)  # as the dial's next step does
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,7 @@
 from gladewalk.core.outcome_counters import Outcome, outcome_counter
 from gladewalk.core.readiness import IDLE_CLOSE_GRACE_MS, MAX_IDLE_DRAIN_MS, Readiness
 from gladewalk.director import Director
-from gladewalk.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, AdminFront, Response
+from gladewalk.net.admin import CALL_TIMEOUT_MS, MAX_ADMIN_CONNECTIONS, AdminFront, Response
 from gladewalk.ops.metrics import Gauges, format_metrics
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import SETTINGS, config_for, wait_until
@@ -63,14 +63,14 @@
 
 def test_a_drain_keeps_its_beginning_and_closes_idle_connections_in_time() -> None:
     readiness = Readiness(is_started=True)
-    assert not readiness.may_close_idle(0.0, is_quiet=True)
+    assert not readiness.may_close_idle(0.0, is_input_empty=True)
     readiness.start_drain(10_000.0)
     readiness.start_drain(11_000.0)
     assert readiness.drain_since_ms == 10_000.0
-    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS - 1, is_quiet=True)
-    assert readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_quiet=True)
-    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_quiet=False)
-    assert readiness.may_close_idle(10_000.0 + MAX_IDLE_DRAIN_MS, is_quiet=False)
+    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS - 1, is_input_empty=True)
+    assert readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=True)
+    assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=False)
+    assert readiness.may_close_idle(10_000.0 + MAX_IDLE_DRAIN_MS, is_input_empty=False)
     assert MAX_IDLE_DRAIN_MS < 4_000.0  # none is held idle when the front stops coming
 
 
@@ -129,18 +129,20 @@
         self.assertEqual((self.counters["admin.unknown_path"], self.counters["admin.wrong_method"]), (1, 1))
 
     async def test_silent_callers_cost_a_bounded_descriptor_and_timer_and_block_nobody(self) -> None:
-        silent = [await asyncio.open_connection(*self.admin.address) for _ in range(MAX_CALLERS + 8)]
+        silent = [
+            await asyncio.open_connection(*self.admin.address) for _ in range(MAX_ADMIN_CONNECTIONS + 8)
+        ]
         half = silent[0][1]
         half.write(b"GET /ops/read")
         self.assertEqual(await call(self.admin.address, encode_request("/ops/readiness")), (200, b"ready\n"))
-        await wait_until(lambda: len(self.admin.calls) <= MAX_CALLERS)
+        await wait_until(lambda: len(self.admin.connections) <= MAX_ADMIN_CONNECTIONS)
         self.now += CALL_TIMEOUT_MS
         self.deadlines.sweep(self.now)
-        await wait_until(lambda: not self.admin.calls)
+        await wait_until(lambda: not self.admin.connections)
         for reader, writer in silent:
             self.assertEqual(await reader.read(), b"")  # closed, unanswered
             writer.close()
-        self.assertGreaterEqual(self.counters["admin.calls_unfinished"], MAX_CALLERS)
+        self.assertGreaterEqual(self.counters["admin.calls_unfinished"], MAX_ADMIN_CONNECTIONS)
 
 
 class Program(unittest.IsolatedAsyncioTestCase):
@@ -294,7 +296,7 @@
         for key, (_, writer) in enumerate(clients, 1):  # homes on both caches, by hash
             path = f"/invoke/lot-page/{key:x}?nth=0"
             writer.write(encode_request(path, trace=f"{key:016x}", wait_ms=PATIENCE_MS))
-        await wait_until(lambda: len(director.exchange.held_requests or ()) == 8)
+        await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 8)
         self.assertEqual((first.received, second.received), ([], []))
         assert coordinator.may_answer is not None
         coordinator.may_answer.set()
