--- a/gladewalk/limits/admission_price.py
+++ b/gladewalk/limits/admission_price.py
@@ -12,7 +12,7 @@
 TARGET_UTILIZATION = 0.9  # of the connection limit; the rest takes bursts
 MIN_PRICE = 2e-3  # priority weight per millisecond, at which nothing is shed
 MAX_PRICE = 0.01  # small requests pass at it even while silent servers hold all connections
-HOLD_MS = 20.0  # that a request holds its connection beside its transfer time, as measured
+CONNECTION_OVERHEAD_MS = 20.0  # that a request holds its connection beside its transfer time, as measured
 
 
 class AdmissionPrice:
@@ -23,7 +23,9 @@
 
     def should_shed(self, priority_weight: float, transfer_ms: float) -> bool:
         """Whether a request of this weight is worth less than the connection time it takes."""
-        return self.price > MIN_PRICE and priority_weight < self.price * (HOLD_MS + transfer_ms)
+        return self.price > MIN_PRICE and priority_weight < self.price * (
+            CONNECTION_OVERHEAD_MS + transfer_ms
+        )
 
     def update(self, utilization: float) -> None:
         """Move the price by the part of the connection limit in use; called once a sweep."""
--- a/gladewalk/limits/concurrency.py
+++ b/gladewalk/limits/concurrency.py
@@ -16,7 +16,7 @@
 FILL_FRACTION = 0.75  # of the slowdown that still meets the objective, up to which a server is filled
 SPREAD_DEVIATIONS = 0.8  # standard deviations that one sender's part of the traffic may lie over the mean
 EWMA_ALPHA = 0.05
-CROWDED_EWMA_ALPHA = 0.002  # of the baseline, for answers of a crowded link
+LOADED_LINK_EWMA_ALPHA = 0.002  # of the baseline, for answers of a crowded link
 SHARED_LINK_LOG_SLOWDOWN = 0.15  # from which a link is assumed to be shared out
 GAIN = 0.02  # part of the way to what an answer shows that the capacity goes
 LIGHT_LOAD_FRACTION = 0.7  # of the capacity in flight, up to which a link is not crowded
@@ -48,7 +48,7 @@
         log_ms = math.log(max(1.0, elapsed_ms))
         if math.isnan(self.log_ms):
             self.log_ms = log_ms
-        self.log_ms += (EWMA_ALPHA if is_lightly_loaded else CROWDED_EWMA_ALPHA) * (log_ms - self.log_ms)
+        self.log_ms += (EWMA_ALPHA if is_lightly_loaded else LOADED_LINK_EWMA_ALPHA) * (log_ms - self.log_ms)
         return log_ms - self.log_ms
 
 
@@ -78,7 +78,7 @@
         limit = math.log(MAX_FACTOR)
         self.log_factor = min(limit, max(-limit, self.log_factor + step))
 
-    def record_answer(self, log_slowdown: float, in_flight: float) -> None:
+    def record_response(self, log_slowdown: float, in_flight: float) -> None:
         """Learn from a complete answer, with `in_flight` transfers of all senders on the link."""
         self.log_slowdown += EWMA_ALPHA * (log_slowdown - self.log_slowdown)
         self.in_flight += EWMA_ALPHA * (in_flight - self.in_flight)
--- a/gladewalk/limits/retry_budget.py
+++ b/gladewalk/limits/retry_budget.py
@@ -18,6 +18,6 @@
 
     def withdraw(self) -> bool:
         """Take the token of one retry; False if there is none."""
-        is_paid = self.tokens >= 1.0
-        self.tokens -= is_paid
-        return is_paid
+        has_token = self.tokens >= 1.0
+        self.tokens -= has_token
+        return has_token
--- a/gladewalk/policy/candidates.py
+++ b/gladewalk/policy/candidates.py
@@ -17,7 +17,7 @@
 
 SIBLING_TRIAL_RATE = 0.08  # part of the fills of unlocated objects that ask a sibling first
 HOT_OBJECT_MS = 1_500.0  # an object served by its home this lately may have a second home
-PARENT_PATIENCE = 0.25  # part of the objective that a fill waits for a busy parent before the origin
+PARENT_WAIT_FRACTION = 0.25  # part of the objective that a fill waits for a busy parent before the origin
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
         is_hot = self.state.now_ms - last_seen_ms <= HOT_OBJECT_MS
         candidates = homes if is_hot else self.holders(pending)
         seconds = (server for server in homes[1:2] if server in candidates)
-        return next((server for server in seconds if not self.capacity.is_crowded(server, pending)), None)
+        return next((server for server in seconds if not self.capacity.is_overloaded(server, pending)), None)
 
     def bypass_target(self, pending: PendingRequest) -> ServerRecord | None:
         """A parent or the origin for a request that no cache of this location can take in time."""
@@ -56,8 +56,8 @@
         if not pending.is_write and not may_fill:
             return None
         for server in (not pending.is_write and self.parents(pending)) or self.state.registry.origins:
-            is_able = self.health.is_usable(server) if pending.is_write else self._may_fill_from(server)
-            is_allowed = is_able and self.retries.may_run_at(pending, server)
+            is_available = self.health.is_usable(server) if pending.is_write else self._may_fill_from(server)
+            is_allowed = is_available and self.retries.may_run_at(pending, server)
             if is_allowed and server.info.name not in pending.failed_hosts:
                 return server
         return None
@@ -71,24 +71,24 @@
         if pending.is_write:
             origins = (origin for origin in state.registry.origins if self.health.is_usable(origin))
             return next((origin for origin in origins if origin.info.name not in failed_sources), None)
-        is_link_over = self.capacity.is_link_overloaded(pending)
-        parents = [] if is_link_over else self.parents(pending)
+        is_link_full = self.capacity.is_link_overloaded(pending)
+        parents = [] if is_link_full else self.parents(pending)
         parents = [parent for parent in parents if parent.info.name not in failed_sources]
         holders = [server for server in self.holders(pending) if server is not host]
-        if is_link_over:  # what this location itself holds needs no link
+        if is_link_full:  # what this location itself holds needs no link
             holders = [server for server in holders if server.info.zone == state.settings.zone]
         hub_holders = [parent for parent in state.registry.hub_parents if parent in holders]
-        trial = [] if is_link_over else self._sibling_trial(pending)
+        trial = [] if is_link_full else self._sibling_trial(pending)
         for source in (*hub_holders, *holders, *trial, *parents):
             if self._may_fill_from(source):
                 return source
-        patience_ms = PARENT_PATIENCE * pending.request_class.latency_objective_ms
-        is_early = pending.arrived_ms + patience_ms > state.now_ms
-        if is_link_over or (is_early and any(map(self.capacity.has_slow_start_budget, parents))):
+        parent_wait_ms = PARENT_WAIT_FRACTION * pending.request_class.latency_objective_ms
+        may_wait_for_parent = pending.arrived_ms + parent_wait_ms > state.now_ms
+        if is_link_full or (may_wait_for_parent and any(map(self.capacity.has_slow_start_budget, parents))):
             return None
         for origin in state.registry.origins:
-            may_ask = origin.info.name not in failed_sources and self.health.may_reach_origin()
-            if may_ask and self._may_fill_from(origin):
+            may_fetch = origin.info.name not in failed_sources and self.health.may_reach_origin()
+            if may_fetch and self._may_fill_from(origin):
                 return origin
         return None
 
--- a/gladewalk/policy/capacity.py
+++ b/gladewalk/policy/capacity.py
@@ -17,7 +17,7 @@
     def __init__(self, state: RoutingState) -> None:
         self._state = state
 
-    def is_crowded(self, server: ServerRecord, pending: PendingRequest) -> bool:
+    def is_overloaded(self, server: ServerRecord, pending: PendingRequest) -> bool:
         """Whether one transfer more would slow a server's link so that this request misses its objective.
 
         This dispatcher's transfers, times the dispatchers of the location, stand for all. The next cache of
@@ -38,7 +38,7 @@
         if capacity <= 0 or state.now_ms < state.capacities.link_spare_until_ms:
             return False
         senders, max_slowdown = state.topology.senders_in_zone, state.estimates.max_slowdown(pending)
-        return is_over_capacity(state.outside_fills, capacity, senders, max_slowdown)
+        return is_over_capacity(state.inbound_fills, capacity, senders, max_slowdown)
 
     def has_slow_start_budget(self, server: ServerRecord) -> bool:
         """Whether a server is warm, or this dispatcher's part of its budget allows one request more."""
--- a/gladewalk/policy/dispatcher.py
+++ b/gladewalk/policy/dispatcher.py
@@ -47,9 +47,9 @@
             case api.Timer(token=TimerToken.SWEEP):
                 self._sweep()
             case api.Timer(token=TimerToken.WATCH):
-                state.act(api.Watch(True))
+                state.emit(api.Watch(True))
             case api.EndpointList(kind=EndpointListKind.FAILED):
-                state.act(api.SetTimer(BACKOFF_MS, TimerToken.WATCH))
+                state.emit(api.SetTimer(BACKOFF_MS, TimerToken.WATCH))
             case api.EndpointList():
                 state.registry.apply(event)
                 self._resume_waiting()
@@ -68,16 +68,16 @@
 
     def _start(self) -> None:
         self._has_started = True
-        self.state.act(api.SetTimer(SWEEP_INTERVAL_MS, TimerToken.SWEEP))
+        self.state.emit(api.SetTimer(SWEEP_INTERVAL_MS, TimerToken.SWEEP))
         if self.state.settings.watches_endpoints:
-            self.state.act(api.Watch(True))
+            self.state.emit(api.Watch(True))
 
     def _sweep(self) -> None:
         """Eject silent servers, end what waits in vain, and let go what can."""
         state = self.state
-        state.act(api.SetTimer(SWEEP_INTERVAL_MS, TimerToken.SWEEP))
+        state.emit(api.SetTimer(SWEEP_INTERVAL_MS, TimerToken.SWEEP))
         for server in state.busy_servers():
-            if self.health.eject_if_silent(server):
+            if self.health.eject_if_unresponsive(server):
                 self.router.hedge(server)
         self.router.expire_queue()
         self.router.update_admission()
--- a/gladewalk/policy/dns_placement.py
+++ b/gladewalk/policy/dns_placement.py
@@ -28,7 +28,7 @@
         """Answer with the object's home, or the director itself; wait while no server at all is usable."""
         state, request_class = self.state, self.state.classes.get(question.class_name)
         if request_class is None:
-            return state.act(api.Reject(question.id))
+            return state.emit(api.Reject(question.id))
         request = api.Request(question.id, question.class_name, question.key, question.time_left_ms)
         request.part = question.part
         pending = PendingRequest(request, request_class, state.now_ms)
@@ -41,7 +41,7 @@
         is_cacheable = homes and not request_class.is_write and not self._is_purge_unsettled(question)
         servers = self._select(question, pending, homes) if is_cacheable else []
         ttl_ms = min(map(self._ttl_ms, servers), default=state.dns_lease_table().max_ttl_ms)
-        return state.act(api.Resolved(question.id, tuple(server.info.name for server in servers), ttl_ms))
+        return state.emit(api.Resolved(question.id, tuple(server.info.name for server in servers), ttl_ms))
 
     def retry_unresolved(self) -> None:
         """Answer the questions that waited, as far as a server is usable now."""
@@ -85,7 +85,7 @@
         lease = server.address, question.resolver, pending.object_id
         bound = self.capacity.max_dns_lease_weight(server)
         is_full = transfers > leases.available_weight(*lease, bound, now_ms)
-        if is_full or self.capacity.is_crowded(server, pending):
+        if is_full or self.capacity.is_overloaded(server, pending):
             return False
         if not self.capacity.has_slow_start_budget(server):
             return False
--- a/gladewalk/policy/health.py
+++ b/gladewalk/policy/health.py
@@ -6,10 +6,10 @@
 
 from .. import interface as api
 from ..interface import Role, ServerState, Status
-from ..limits.backoff import backoff_ms, decrease_quota, silence_ms
+from ..limits.backoff import backoff_ms, decrease_quota, unresponsive_timeout_ms
 from ..limits.origin_breaker import OriginBreaker
 from ..registry.capacity_estimates import LOAD_REPORT_TTL_MS
-from ..registry.outcome_recorder import DOWN_MS
+from ..registry.outcome_recorder import MIN_OUTAGE_MS
 from ..registry.records import ServerRecord
 from ..registry.state import RoutingState
 
@@ -34,8 +34,8 @@
         ejected = sum(now_ms < cache.backoff_until_ms for cache in caches)
         if server in caches and not is_unreachable and 2 * ejected + 2 > max(2, len(caches)):
             return  # to eject most of a location is worse than answers lost at some of its caches
-        was_silent = now_ms - server.last_answer_ms > DOWN_MS
-        if is_unreachable and was_silent and server.info.role is not Role.ORIGIN:
+        was_unresponsive = now_ms - server.last_response_ms > MIN_OUTAGE_MS
+        if is_unreachable and was_unresponsive and server.info.role is not Role.ORIGIN:
             server.started_ms = now_ms  # it comes back empty and warming up; the list tells that late
         if is_unreachable or server.consecutive_failures > 1:
             server.backoff_until_ms = now_ms + backoff_ms(server.consecutive_failures)
@@ -47,7 +47,7 @@
             return
         if result.status is Status.OK and result.age_ms < LOAD_REPORT_TTL_MS:
             state.capacities.record_load_report(server, result.load_report or {}, state.now_ms)
-        elif result.status in UNREACHABLE and server.last_answer_ms < state.now_ms - result.age_ms:
+        elif result.status in UNREACHABLE and server.last_response_ms < state.now_ms - result.age_ms:
             self.record_failure(server, is_unreachable=result.status is Status.CONNECT_FAILED)
 
     def is_usable(self, server: ServerRecord) -> bool:
@@ -63,13 +63,13 @@
         is_reachable = all(now_ms >= origin.backoff_until_ms for origin in origins)
         return self.origin_breaker.allows(now_ms) and is_reachable
 
-    def eject_if_silent(self, server: ServerRecord) -> bool:
+    def eject_if_unresponsive(self, server: ServerRecord) -> bool:
         """Eject a server that hangs, vanished or is cut off; False if it does not look like it."""
         now_ms = self._state.now_ms
         if not server.attempts or now_ms < server.backoff_until_ms:
             return False
-        quiet_ms = now_ms - max(next(iter(server.attempts.values())), server.last_answer_ms)
-        if quiet_ms <= silence_ms(server.response_gap_ms, len(server.attempts)):
+        unresponsive_ms = now_ms - max(next(iter(server.attempts.values())), server.last_response_ms)
+        if unresponsive_ms <= unresponsive_timeout_ms(server.response_gap_ms, len(server.attempts)):
             return False
         server.consecutive_failures += 1  # a silence has lasted: it needs no second one
         server.fill_quota = decrease_quota(server.fill_quota)
--- a/gladewalk/policy/retries.py
+++ b/gladewalk/policy/retries.py
@@ -18,7 +18,7 @@
 
     ROUTE = auto()
     QUEUE = auto()
-    GIVE_UP = auto()
+    REJECT_OR_FAIL = auto()
 
 
 class RetryPolicy:
@@ -75,8 +75,8 @@
             pending.lost_at.append(attempt.host)  # lost on its way: the home still holds the object
         elif status is not Status.CANCELLED:  # a hedge has ruled out already what was silent
             pending.failed_hosts.append(attempt.host)
-        is_free = status in (Status.MISS, Status.CANCELLED)
-        return NextStep.ROUTE if is_free or self.budget.withdraw() else NextStep.GIVE_UP
+        needs_no_token = status in (Status.MISS, Status.CANCELLED)
+        return NextStep.ROUTE if needs_no_token or self.budget.withdraw() else NextStep.REJECT_OR_FAIL
 
     def may_hedge(self, pending: PendingRequest) -> bool:
         """Whether a request with an attempt at a silent server may have another one; pays for it."""
--- a/gladewalk/policy/routing.py
+++ b/gladewalk/policy/routing.py
@@ -46,7 +46,7 @@
         if request.id in state.pending:
             return
         if request_class is None:
-            state.act(api.Reject(request.id))  # never sent anywhere, so that a retry is harmless
+            state.emit(api.Reject(request.id))  # never sent anywhere, so that a retry is harmless
             return
         state.estimates.record_request(request, request_class)
         self._retries.budget.deposit()
@@ -56,7 +56,7 @@
         pending.accepts_stale = request_class.stale_grace_ms > 0 and not self._health.may_reach_origin()
         transfer_ms = state.estimates.transfer_ms(pending)
         if self._admission.should_shed(request_class.priority_weight, transfer_ms):
-            self._give_up(pending)
+            self._reject_or_fail(pending)
         else:
             self._route(pending)
 
@@ -68,7 +68,7 @@
         is_exhausted = pending.attempts_sent >= state.settings.max_attempts
         is_late = pending.deadline_ms - state.now_ms < MIN_ATTEMPT_MS
         if is_exhausted or is_late or not self._retries.may_send(pending):
-            return self._give_up(pending)
+            return self._reject_or_fail(pending)
         max_age_ms = self._max_age_ms(pending)
         homes = self.candidates.homes(pending)
         homes = [home for home in homes if self._capacity.has_slow_start_budget(home)]
@@ -76,12 +76,12 @@
             if self._bypass_caches(pending, max_age_ms):
                 return None
             can_wait = self.candidates.homes(pending, include_ejected=True)
-            return self._queue(pending) if can_wait else self._give_up(pending)
+            return self._queue(pending) if can_wait else self._reject_or_fail(pending)
         host = homes[0]
-        if self._capacity.is_crowded(host, pending):  # an answer would come late and make others late
+        if self._capacity.is_overloaded(host, pending):  # an answer would come late and make others late
             second = self.candidates.second_home(pending, homes)
             if second is None:
-                return None if self._bypass_caches(pending, max_age_ms) else self._give_up(pending)
+                return None if self._bypass_caches(pending, max_age_ms) else self._reject_or_fail(pending)
             host = second
         is_known_miss = host.info.name in pending.missed_at or state.is_warming_up(host)
         is_known_miss = is_known_miss or 0 < max_age_ms < MIN_OBJECT_AGE_MS
@@ -118,13 +118,13 @@
         is_first_fill = pending.is_idempotent and not pending.failed_sources
         join_fill = state.settings.may_join_fills and is_first_fill
         if source is None and not join_fill and not max_age_ms:
-            return state.act(api.Lookup(pending.request.id, host.info.name))
+            return state.emit(api.Lookup(pending.request.id, host.info.name))
         named = (source or host).info
         if host.info.role is Role.PARENT and state.registry.origins:
             named = state.registry.origins[0].info  # named itself it would give only what it holds
         is_fill = source is not None and not pending.is_write
-        is_parent_resting = named.role is Role.PARENT and not self._health.may_reach_origin()
-        cached_only = is_fill and (named.role is Role.CACHE or is_parent_resting)
+        is_parent_without_origin = named.role is Role.PARENT and not self._health.may_reach_origin()
+        cached_only = is_fill and (named.role is Role.CACHE or is_parent_without_origin)
         if is_fill and not cached_only:
             self._health.origin_breaker.record_sent(state.now_ms)
         fetch = api.Fetch(pending.request.id, host.info.name, named.name, max_age_ms)
@@ -134,14 +134,14 @@
             fetch.timeout_ms = self._sojourn.timeout_ms(
                 pending, state.estimates.objective_ms(pending), state.now_ms
             )
-        state.act(fetch)
+        state.emit(fetch)
 
     # Waiting for a source.
 
     def _queue(self, pending: PendingRequest) -> None:
         """Let a request wait for a source, as long as an answer in time is in reach."""
         if pending.deadline_ms - self._state.now_ms < MIN_REMAINING_MS:
-            return self._give_up(pending)  # a short deadline could end between two sweeps
+            return self._reject_or_fail(pending)  # a short deadline could end between two sweeps
         return self._state.queue.add(pending)
 
     def drain_queue(self) -> None:
@@ -157,7 +157,7 @@
             if not pending.is_queued or self._state.now_ms <= latest_ms:
                 continue
             if not request_class.stale_grace_ms or pending.accepts_stale:
-                self._give_up(pending)
+                self._reject_or_fail(pending)
             else:  # no fill in time, the origin is slow or stopped: a copy in its grace is worth something
                 pending.accepts_stale, pending.missed_at = True, []
                 self._route(pending)
@@ -187,10 +187,10 @@
         if outcome.is_answered:
             self.close(outcome.id)
         elif is_timeout and self._state.now_ms >= pending.deadline_ms - MIN_REMAINING_MS:
-            self._state.act(api.Fail(outcome.id))
+            self._state.emit(api.Fail(outcome.id))
             self.close(outcome.id)
         elif is_timeout and attempt.is_fill:
-            self._give_up(pending)  # cut for its age: another source would find it older still
+            self._reject_or_fail(pending)  # cut for its age: another source would find it older still
         elif outcome.status is Status.MISS or not pending.in_flight:
             step = self._retries.next_step(outcome, attempt, pending)
             if step is NextStep.ROUTE:
@@ -198,7 +198,7 @@
             elif step is NextStep.QUEUE:
                 self._queue(pending)
             else:
-                self._give_up(pending)
+                self._reject_or_fail(pending)
 
     def hedge(self, server: ServerRecord) -> None:
         """Send hedged requests, elsewhere, for what waits for a silent server."""
@@ -208,11 +208,11 @@
             attempt, pending = state.attempts[key]
             if not self._retries.may_hedge(pending):
                 continue
-            pending.rule_out_silent(server.info.name, attempt)
+            pending.rule_out_unresponsive(server.info.name, attempt)
             if state.settings.hedging:
                 self._route(pending)
             else:  # one attempt at a time: the end of the first one brings the next
-                state.act(api.Cancel(*key))
+                state.emit(api.Cancel(*key))
 
     def on_first_byte(self, event: api.FirstByte) -> None:
         """The answer is on its way to the client: no other attempt can serve this request now."""
@@ -222,7 +222,7 @@
         pending.has_response_begun = True
         for attempt in pending.in_flight if self._state.settings.may_cancel else ():
             if attempt != event.attempt:
-                self._state.act(api.Cancel(event.id, attempt))
+                self._state.emit(api.Cancel(event.id, attempt))
 
     def may_write(self, request_id: int, attempt_number: int) -> bool:
         """Whether an attempt may still be written: not after a drain, a purge or another answer."""
@@ -235,7 +235,7 @@
 
     # The final answer.
 
-    def _give_up(self, pending: PendingRequest) -> None:
+    def _reject_or_fail(self, pending: PendingRequest) -> None:
         """Give the final answer: a rejection where the client may retry, else a failure."""
         if pending.in_flight:
             return  # it may still be answered
@@ -244,9 +244,9 @@
             min(RETRY_AFTER_MS, settings.max_retry_after_ms) if settings.sends_retry_after else 0.0
         )
         if self._retries.is_client_retry_harmless(pending, retry_after_ms):
-            state.act(api.Reject(pending.request.id, retry_after_ms))
+            state.emit(api.Reject(pending.request.id, retry_after_ms))
         else:
-            state.act(api.Fail(pending.request.id))
+            state.emit(api.Fail(pending.request.id))
         self.close(pending.request.id)
 
     def close(self, request_id: int) -> None:
@@ -255,7 +255,7 @@
         pending = state.pending.pop(request_id, None)
         if pending is not None and state.settings.may_cancel and not pending.has_response_begun:
             for attempt in pending.in_flight:
-                state.act(api.Cancel(request_id, attempt))
+                state.emit(api.Cancel(request_id, attempt))
 
     def update_admission(self) -> None:
         """Move the admission price by the client connections in use; called once a sweep."""
--- a/gladewalk/registry/capacity_estimates.py
+++ b/gladewalk/registry/capacity_estimates.py
@@ -57,7 +57,7 @@
         if server.info.role is Role.CACHE and self._settings.infers_capacity:
             limit, with_this = server.concurrency_limit, in_flight + self._senders
             baseline = self._baselines.setdefault(pending.request_class.name, LatencyBaseline())
-            limit.record_answer(baseline.record(elapsed_ms, limit.is_lightly_loaded(with_this)), with_this)
+            limit.record_response(baseline.record(elapsed_ms, limit.is_lightly_loaded(with_this)), with_this)
         slowdown = max(1.0, elapsed_ms) / max(1.0, self._transfers.transfer_ms(pending))
         server.log_slowdown += EWMA_ALPHA * (math.log(slowdown) - server.log_slowdown)
         if pending.request.size_kb:
--- a/gladewalk/registry/outcome_recorder.py
+++ b/gladewalk/registry/outcome_recorder.py
@@ -12,7 +12,7 @@
 from .records import Attempt, PendingRequest, ServerRecord
 from .state import RoutingState
 
-DOWN_MS = 400.0  # an unreachable server without an answer for this long has restarted: the usual gap
+MIN_OUTAGE_MS = 400.0  # an unreachable server without an answer for this long has restarted: the usual gap
 MIN_REMAINING_MS = 60.0  # a request with less time than this gets its final answer now: over one sweep
 ORIGIN_DETAILS = (OutcomeDetail.ORIGIN_FAILED, OutcomeDetail.FILLED_BY_ORIGIN)
 
@@ -42,7 +42,7 @@
         if host is not None:
             self._record_host(outcome, host)
         if outcome.status is Status.OK and host is not None:
-            self._record_answer(outcome, pending, host, source)
+            self._record_success(outcome, pending, host, source)
         elif source is not None and source is not host and outcome.status is not Status.OK:
             self._record_source_failure(outcome, pending, source)
 
@@ -59,14 +59,16 @@
             host.concurrency_limit.record_rejection(self._state.now_ms)
         self._state.capacities.record_load_report(host, outcome.load_report or {}, self._state.now_ms)
         if status in (Status.OK, Status.MISS, Status.REJECTED):
-            host.record_answer(self._state.now_ms)
+            host.record_response(self._state.now_ms)
             return
-        was_silent = self._state.now_ms - host.last_answer_ms > DOWN_MS  # else the connection is at fault
+        was_unresponsive = (
+            self._state.now_ms - host.last_response_ms > MIN_OUTAGE_MS
+        )  # else the connection is at fault
         is_failure = status in (Status.CONNECT_FAILED, Status.ERROR)
-        if is_failure or (status is Status.RESET and was_silent):
+        if is_failure or (status is Status.RESET and was_unresponsive):
             self._health.record_failure(host, is_unreachable=status is Status.CONNECT_FAILED)
 
-    def _record_answer(
+    def _record_success(
         self, outcome: api.Outcome, pending: PendingRequest, host: ServerRecord, source: ServerRecord | None
     ) -> None:
         state = self._state
@@ -80,13 +82,13 @@
             source.first_byte_ms += EWMA_ALPHA * (outcome.source_wait_ms - source.first_byte_ms)
         if outcome.detail is OutcomeDetail.FILLED_BY_ORIGIN:
             for origin in state.registry.origins:
-                origin.record_answer(self._state.now_ms)
+                origin.record_response(self._state.now_ms)
         if outcome.detail is not OutcomeDetail.HIT:
             self._record_fill(outcome, pending, source)
 
     def _record_fill(self, outcome: api.Outcome, pending: PendingRequest, source: ServerRecord) -> None:
         state = self._state
-        source.record_answer(self._state.now_ms)
+        source.record_response(self._state.now_ms)
         is_in_time = state.now_ms - pending.arrived_ms <= state.estimates.objective_ms(pending)
         is_quota_in_use = source.fills_in_flight + 1 >= source.fill_quota / 2.0
         if is_in_time and is_quota_in_use:
@@ -99,7 +101,7 @@
     ) -> None:
         status, detail = outcome.status, outcome.detail
         if status is Status.MISS or detail in api.SOURCE_RESPONSE_DETAILS:
-            source.record_answer(self._state.now_ms)
+            source.record_response(self._state.now_ms)
         if detail is OutcomeDetail.SOURCE_LACKS or status is Status.MISS:
             self._state.locations.remove(pending.object_id, source.info.name)
             return
--- a/gladewalk/registry/records.py
+++ b/gladewalk/registry/records.py
@@ -9,15 +9,15 @@
 
 from .. import interface as api
 from ..interface import Idempotency
-from ..limits.backoff import INITIAL_ANSWER_GAP_MS, INITIAL_FILL_QUOTA
+from ..limits.backoff import INITIAL_FILL_QUOTA, INITIAL_RESPONSE_GAP_MS
 from ..limits.concurrency import ConcurrencyLimit
 from ..limits.idempotency_keys import PossibleExecution
 from ..limits.slow_start import SlowStartBudget
 from .object_locations import ObjectId
 from .rendezvous import server_salt
 
-MAX_ANSWER_GAP_MS = 1_000.0
-ANSWER_GAP_EWMA_ALPHA = 0.1
+MAX_RESPONSE_GAP_MS = 1_000.0
+RESPONSE_GAP_EWMA_ALPHA = 0.1
 
 
 class ServerRecord:
@@ -38,19 +38,19 @@
         self.consecutive_failures = 0
         self.log_slowdown = 0.0  # moving average of the logarithm of hits' time over the expected time
         self.weight = 1.0  # factor on its capacity in the rendezvous hash
-        self.backoff_until_ms = self.last_sent_ms = self.last_answer_ms = 0.0
+        self.backoff_until_ms = self.last_sent_ms = self.last_response_ms = 0.0
         self.spare_capacity_until_ms = 0.0  # until then a load report says that its link is not full
-        self.response_gap_ms = INITIAL_ANSWER_GAP_MS  # moving average of the time between answers
+        self.response_gap_ms = INITIAL_RESPONSE_GAP_MS  # moving average of the time between answers
         self.started_ms = info.started_ms  # last start of its process, listed or inferred
         self.slow_start_budget = SlowStartBudget()
         self.concurrency_limit = ConcurrencyLimit()
 
-    def record_answer(self, now_ms: float) -> None:
+    def record_response(self, now_ms: float) -> None:
         """The server has answered, whatever it said: its backoff ends."""
-        if self.last_answer_ms:
-            gap_ms = min(now_ms - self.last_answer_ms, MAX_ANSWER_GAP_MS)
-            self.response_gap_ms += ANSWER_GAP_EWMA_ALPHA * (gap_ms - self.response_gap_ms)
-        self.last_answer_ms = now_ms
+        if self.last_response_ms:
+            gap_ms = min(now_ms - self.last_response_ms, MAX_RESPONSE_GAP_MS)
+            self.response_gap_ms += RESPONSE_GAP_EWMA_ALPHA * (gap_ms - self.response_gap_ms)
+        self.last_response_ms = now_ms
         self.consecutive_failures, self.backoff_until_ms = 0, 0.0
 
     @property
@@ -96,7 +96,7 @@
         # The hub's parents, as they were last ranked for this object, and in that order.
         self.ranked_parents: tuple[list[ServerRecord], list[ServerRecord]] = [], []
 
-    def rule_out_silent(self, server: str, attempt: Attempt) -> None:
+    def rule_out_unresponsive(self, server: str, attempt: Attempt) -> None:
         """Ask a server no more that was silent as the attempt's host, or as the source of its fill."""
         if attempt.host == server:
             self.failed_hosts.append(server)
--- a/gladewalk/registry/request_queue.py
+++ b/gladewalk/registry/request_queue.py
@@ -7,7 +7,7 @@
 
 from .records import PendingRequest
 
-MAX_MISSES = 8  # requests that find no source before the rest isn't looked at; bounds the cost of a drain
+MAX_REQUEUED = 8  # requests that find no source before the rest isn't looked at; bounds the cost of a drain
 
 
 class RequestQueue:
@@ -35,7 +35,7 @@
     def drain(self, route: Callable[[PendingRequest], object]) -> None:
         """Route the requests in their order; those that are queued anew stay in front of the rest."""
         remaining, misses = len(self._ids), 0
-        while remaining and misses < MAX_MISSES:
+        while remaining and misses < MAX_REQUEUED:
             remaining -= 1
             pending = self._pending.get(self._ids.popleft())
             if pending is not None and pending.is_queued:
--- a/gladewalk/registry/state.py
+++ b/gladewalk/registry/state.py
@@ -48,7 +48,7 @@
         self.queue = RequestQueue(self.pending)  # of requests that wait for a source
         self.unresolved: dict[int, api.ResolveRequest] = {}  # asked while nothing can serve
         self.dns_leases: DnsLeaseTable | None = None  # None: nobody has asked by DNS
-        self.outside_fills = 0  # in flight from outside this location, over its inbound link
+        self.inbound_fills = 0  # in flight from outside this location, over its inbound link
         self.configure(settings)
 
     def configure(self, settings: api.Settings) -> None:
@@ -65,7 +65,7 @@
         self.capacities.configure(settings, self.topology.senders_in_zone)
         self.registry.configure(settings, self.topology)
 
-    def act(self, action: api.Action) -> None:
+    def emit(self, action: api.Action) -> None:
         """Add an action to those that answer the present event."""
         self.actions.append(action)
 
@@ -112,7 +112,7 @@
         self.executions.record_sent(pending, host.info, self.now_ms)
         if source is not None:
             source.fills_in_flight += 1
-            self.outside_fills += source.info.zone != self.settings.zone
+            self.inbound_fills += source.info.zone != self.settings.zone
 
     def withdraw_slow_start_budget(self, server: ServerRecord, pending: PendingRequest) -> None:
         """Count a request against the budget of its server, if that is warming up."""
@@ -133,7 +133,7 @@
                 server.attempts.pop(key, None)
         if source is not None:
             source.fills_in_flight -= 1
-            self.outside_fills -= source.info.zone != self.settings.zone
+            self.inbound_fills -= source.info.zone != self.settings.zone
         return attempt, pending
 
     def dns_lease_table(self) -> DnsLeaseTable:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -41,7 +41,7 @@
         (lookup,) = world.send_request(key)
         fills += world.end_attempt(lookup, MISS)
     assert 4 <= len(fills) <= 4 * 3
-    assert world.state.outside_fills == len(fills)
+    assert world.state.inbound_fills == len(fills)
     freed = world.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
     assert [a.source for a in freed if isinstance(a, api.Fetch)]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
     backoff_ms,
     decrease_quota,
     increase_quota,
-    silence_ms,
+    unresponsive_timeout_ms,
 )
 from gladewalk.limits.concurrency import (
     MAX_FACTOR,
@@ -37,7 +37,7 @@
     for _ in range(answers):
         out = draw.uniform(1.0, 2.5 * bears)
         took_ms = draw.lognormvariate(math.log(300.0), 0.9) * max(1.0, out / bears)
-        room.record_answer(usual.record(took_ms, room.is_lightly_loaded(out)), out)
+        room.record_response(usual.record(took_ms, room.is_lightly_loaded(out)), out)
     return room.capacity
 
 
@@ -53,7 +53,7 @@
 def test_a_learned_size_stays_within_its_span_whatever_comes(answers: list[tuple[float, float]]) -> None:
     room, usual = ConcurrencyLimit(), LatencyBaseline()
     for took_ms, out in answers:
-        room.record_answer(usual.record(took_ms, room.is_lightly_loaded(out)), out)
+        room.record_response(usual.record(took_ms, room.is_lightly_loaded(out)), out)
         room.record_rejection(took_ms)
         assert room.estimate / MAX_FACTOR * 0.999 <= room.capacity <= room.estimate * MAX_FACTOR * 1.001
 
@@ -68,7 +68,7 @@
     assert room.is_rejecting(1_001.0 + REJECTION_BACKOFF_MS / 2) and not room.is_rejecting(
         1_001.0 + REJECTION_BACKOFF_MS
     )
-    room.record_answer(0.0, 1.0)
+    room.record_response(0.0, 1.0)
     assert not room.is_rejecting(1_002.0)
 
 
@@ -158,7 +158,7 @@
 
 def test_rests_double_up_to_a_most_and_shares_move_between_their_bounds() -> None:
     assert [backoff_ms(n) for n in (1, 2, 3)] == [400.0, 800.0, 1_600.0] and backoff_ms(99) == MAX_BACKOFF_MS
-    assert silence_ms(10.0, 1) == 2 * silence_ms(10.0, 2)
+    assert unresponsive_timeout_ms(10.0, 1) == 2 * unresponsive_timeout_ms(10.0, 2)
     assert decrease_quota(1.2) == MIN_FILL_QUOTA and increase_quota(decrease_quota(4.0)) == 3.0
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -194,7 +194,7 @@
         looked.append(server.info.name)
         return False
 
-    world.health.eject_if_silent = look  # type: ignore[method-assign]
+    world.health.eject_if_unresponsive = look  # type: ignore[method-assign]
     world.sweep()
     assert len(looked) == 1
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 
 from gladewalk import interface as api
 from gladewalk.limits.backoff import MAX_BACKOFF_MS
-from gladewalk.registry.outcome_recorder import DOWN_MS
+from gladewalk.registry.outcome_recorder import MIN_OUTAGE_MS
 
 from .world import ALL_SERVERS, CACHES, ORIGIN, PAGE, PARENTS, SIBLINGS, DispatcherEnvironment, final_answers
 
@@ -219,7 +219,7 @@
 def test_resets_rest_no_server_that_was_heard_lately() -> None:
     world = DispatcherEnvironment((*CACHES[:1], ORIGIN))
     server = world.servers["c0"]
-    for after_ms, usable in ((0.0, True), (10 * DOWN_MS, False)):
+    for after_ms, usable in ((0.0, True), (10 * MIN_OUTAGE_MS, False)):
         (held,) = world.send_request(1)
         world.end_attempt(held, OK, detail=api.OutcomeDetail.HIT)
         world.clock_ms += after_ms
@@ -234,7 +234,7 @@
 def test_a_trial_whose_client_left_is_followed_by_another() -> None:
     world = DispatcherEnvironment((*CACHES[:1], ORIGIN))
     (sent,) = world.send_request(1)
-    world.servers["c0"].last_answer_ms = world.clock_ms
+    world.servers["c0"].last_response_ms = world.clock_ms
     world.end_attempt(sent, api.Status.CONNECT_FAILED)
     (trial,) = world.send_request(2, after_ms=MAX_BACKOFF_MS)
     world.handle_event(api.ClientDisconnected(trial.id))
@@ -247,7 +247,7 @@
 def test_a_server_that_failed_comes_back_with_one_trial() -> None:
     world = DispatcherEnvironment((*CACHES[:1], ORIGIN))
     (lookup,) = world.send_request(1)
-    world.servers["c0"].last_answer_ms = world.clock_ms
+    world.servers["c0"].last_response_ms = world.clock_ms
     world.end_attempt(lookup, api.Status.CONNECT_FAILED)
     assert world.health.is_usable(world.servers["c0"]) is False
     world.clock_ms += 5_000.0
