--- a/gladewalk/policy/__init__.py
+++ b/gladewalk/policy/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision of a dispatcher: which server, whether to retry, what is rejected.
+"""All decisions of a dispatcher: which server a request is sent to, whether to retry, what to reject.
 
-`routing` holds the path of a request from top to bottom. It asks `candidates` for servers, `health` and
-`capacity` whether they can take work, `idempotency` and `retries` what a further attempt may do, and
-`outcomes` records what came of it. `dns_placement` answers resolvers by the same rules; `dispatcher` composes
-the parts. What they know but do not decide is in `gladewalk.registry` and `gladewalk.limits`.
+`routing` handles a request from its arrival to its final answer. It gets servers from `candidates`, checks
+with `health` and `capacity` that they can accept work, and with `retries` that another attempt is harmless.
+`dns_placement` answers resolvers by the same rules; `dispatcher` composes these modules. The state that the
+decisions are based on is in `gladewalk.registry`, the algorithms of the single limits in `gladewalk.limits`.
 """
 
 from .dispatcher import Dispatcher as Dispatcher
--- a/gladewalk/policy/candidates.py
+++ b/gladewalk/policy/candidates.py
@@ -1,4 +1,4 @@
-"""Candidate selection: the caches that an object belongs to, and the sources that can fill a miss."""
+"""Candidate selection: the caches that an object hashes to, and the sources that can fill a miss."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from .health import EndpointHealth
 from .retries import RetryPolicy
 
-SIBLING_TRIAL_RATE = 0.08  # part of the fills of unlocated objects that ask a sibling first
-HOT_OBJECT_MS = 1_500.0  # an object served by its home this lately may have a second home
-PARENT_WAIT_FRACTION = 0.25  # part of the objective that a fill waits for a busy parent before the origin
+SIBLING_TRIAL_RATE = 0.08  # fraction of fills without a known holder that try another location's cache first
+HOT_OBJECT_MS = 1_500.0  # an object that its home served within this time may get a second home
+PARENT_WAIT_FRACTION = 0.25  # of the objective: how long a fill waits for a busy parent before the origin
 
 
 @dataclass(slots=True)
 class CandidateSelector:
-    """Orders servers for a request; sends nothing and changes nothing but caches of orders."""
+    """Orders servers for a request. Sends nothing; the only state it changes are its cached orders."""
 
     state: RoutingState
     health: EndpointHealth
@@ -41,7 +41,7 @@
         return [server for server in allowed if self.retries.may_run_at(pending, server)]
 
     def second_home(self, pending: PendingRequest, homes: list[ServerRecord]) -> ServerRecord | None:
-        """Where a crowded home's object goes if it is hot, or known to be held there already."""
+        """The next cache for an overloaded home's object, if the object is hot or cached there already."""
         last_seen_ms = self.state.locations.last_seen_ms(pending.object_id, homes[0].info.name)
         is_hot = self.state.now_ms - last_seen_ms <= HOT_OBJECT_MS
         candidates = homes if is_hot else self.holders(pending)
@@ -49,7 +49,7 @@
         return next((server for server in seconds if not self.capacity.is_overloaded(server, pending)), None)
 
     def bypass_target(self, pending: PendingRequest) -> ServerRecord | None:
-        """A parent or the origin for a request that no cache of this location can take in time."""
+        """A parent or the origin for a request that no cache of this location can serve in time."""
         if not self.state.settings.may_bypass_caches:
             return None
         may_fill = self.health.may_reach_origin() and not self.capacity.is_link_overloaded(pending)
@@ -63,9 +63,9 @@
         return None
 
     def fill_source(self, pending: PendingRequest, host: ServerRecord) -> ServerRecord | None:
-        """The source of a miss at `host`: a holder, a sibling on trial, a parent, in the end the origin.
+        """The source for a miss at `host`: a known holder, a sibling on trial, a parent, or last the origin.
 
-        None lets the request wait: for a busy parent that can still give an answer in time, or any source.
+        None: the request has to wait, for a busy parent that can still respond in time or for any source.
         """
         state, failed_sources = self.state, pending.failed_sources
         if pending.is_write:
@@ -75,7 +75,7 @@
         parents = [] if is_link_full else self.parents(pending)
         parents = [parent for parent in parents if parent.info.name not in failed_sources]
         holders = [server for server in self.holders(pending) if server is not host]
-        if is_link_full:  # what this location itself holds needs no link
+        if is_link_full:  # a fill from within this location doesn't use the inbound link
             holders = [server for server in holders if server.info.zone == state.settings.zone]
         hub_holders = [parent for parent in state.registry.hub_parents if parent in holders]
         trial = [] if is_link_full else self._sibling_trial(pending)
@@ -95,14 +95,14 @@
     def parents(self, pending: PendingRequest) -> list[ServerRecord]:
         """The hub's usable parents in rendezvous order, then the others by their time to first byte."""
         registry = self.state.registry
-        if pending.ranked_parents[0] is not registry.hub_parents:  # ranked once for all attempts
+        if pending.ranked_parents[0] is not registry.hub_parents:  # a request's attempts share one ranking
             ranked = self._rank(registry.hub_parents, pending.object_id)
             pending.ranked_parents = registry.hub_parents, ranked
         remote = sorted(registry.remote_parents, key=lambda parent: (parent.first_byte_ms, parent.info.name))
         return [parent for parent in (*pending.ranked_parents[1], *remote) if self.health.is_usable(parent)]
 
     def holders(self, pending: PendingRequest) -> list[ServerRecord]:
-        """Usable servers seen with the object after its last purge and after their own last start."""
+        """Usable servers known to have had the object after its last purge and their own last start."""
         state, holders = self.state, []
         since_ms = state.last_purge_ms(pending)
         for name, seen_ms in state.locations.holders_since(pending.object_id, since_ms, state.now_ms):
@@ -114,7 +114,7 @@
         return holders
 
     def _sibling_trial(self, pending: PendingRequest) -> list[ServerRecord]:
-        """Now and then the object's home in one other location, mostly of the own hub."""
+        """For a random fraction of first fills the object's home in another location, mostly a near one."""
         state = self.state
         is_first_fill = pending.is_idempotent and not pending.failed_sources
         if not is_first_fill or state.random.random() >= SIBLING_TRIAL_RATE:
@@ -127,7 +127,7 @@
         return self._rank(caches, pending.object_id)[:1]
 
     def _may_be_source(self, server: ServerRecord) -> bool:
-        """Whether a holder or a sibling may be named as a source in this deployment."""
+        """Whether the settings allow this server as the source of a fill."""
         is_usable = self.health.is_usable(server)
         if server.info.role is Role.PARENT or not is_usable:
             return is_usable
@@ -141,7 +141,7 @@
         return self.health.is_usable(server) and has_quota and self.capacity.has_slow_start_budget(server)
 
     def _rank(self, servers: Iterable[ServerRecord], object_id: ObjectId) -> list[ServerRecord]:
-        """Weighted rendezvous order: by listed capacity, outlier weight and slow start."""
+        """Rendezvous order, weighted by listed capacity, outlier weight and slow-start fraction."""
         seed, capacity_fraction = object_seed(*object_id), self.state.capacity_fraction
 
         def sort_key(server: ServerRecord) -> tuple[float, str]:
--- a/gladewalk/policy/capacity.py
+++ b/gladewalk/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Whether a server or the inbound link can bear one transfer more."""
+"""Whether a server or the inbound link has capacity for one more transfer."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from ..registry.records import PendingRequest, ServerRecord
 from ..registry.state import RoutingState
 
-DNS_LEASE_FRACTION = 0.5  # of a restarted server's budget that DNS answers may fill; the rest is for sends
+DNS_LEASE_FRACTION = 0.5  # part of a restarted server's budget for DNS answers; the rest is for requests
 
 
 class CapacityLimits:
-    """Limits by latency objective, and the budgets of restarted servers."""
+    """Capacity limits derived from latency objectives, and the slow-start budgets of restarted servers."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
 
     def is_overloaded(self, server: ServerRecord, pending: PendingRequest) -> bool:
-        """Whether one transfer more would slow a server's link so that this request misses its objective.
+        """Whether one more transfer would slow a server's link so far that this request misses its objective.
 
-        This dispatcher's transfers, times the dispatchers of the location, stand for all. The next cache of
-        the rendezvous order is no way out: it mostly lacks the object.
+        The total load is estimated as this dispatcher's transfers times the dispatchers of the location. An
+        overloaded home's requests don't move to the next cache of the order, as that mostly lacks the object.
         """
         state = self._state
         if server.concurrency_limit.is_rejecting(state.now_ms):
@@ -33,7 +33,7 @@
         return is_over and is_known and state.now_ms >= server.spare_capacity_until_ms
 
     def is_link_overloaded(self, pending: PendingRequest) -> bool:
-        """The same of the inbound link, which all fills from outside this location share."""
+        """Like `is_overloaded`, for the inbound link that all fills from outside this location share."""
         state, capacity = self._state, self._state.registry.link_capacity
         if capacity <= 0 or state.now_ms < state.capacities.link_spare_until_ms:
             return False
@@ -41,16 +41,16 @@
         return is_over_capacity(state.inbound_fills, capacity, senders, max_slowdown)
 
     def has_slow_start_budget(self, server: ServerRecord) -> bool:
-        """Whether a server is warm, or this dispatcher's part of its budget allows one request more."""
+        """Whether a server is warm, or this dispatcher's share of its budget allows one more request."""
         state = self._state
         if not state.is_warming_up(server):
             return True
         is_parent = server.info.role is Role.PARENT
         if is_parent and not state.topology.is_own_hub(server.info.zone):
-            return False  # left to the dispatchers of its own hub
+            return False  # the whole budget belongs to the dispatchers of the parent's own hub
         senders = state.topology.senders_in_hub if is_parent else state.topology.senders_in_zone
         rate = state.sustainable_rate(server)
-        if state.dns_leases is not None:  # cached DNS answers draw on the same budget
+        if state.dns_leases is not None:  # clients that follow cached DNS answers use the same budget
             bound = self.max_dns_lease_weight(server)
             rate -= senders * state.dns_leases.total_weight(server.address, bound, state.now_ms)
             rate = max(0.0, rate)
@@ -59,7 +59,7 @@
         return budget.allows(state.now_ms, rate, senders, window_ms, state.estimates.mean_ms, position)
 
     def max_dns_lease_weight(self, server: ServerRecord) -> float:
-        """Transfers at a time that this dispatcher's DNS answers may bring to a server, were it restarted."""
+        """Concurrent transfers that this dispatcher's DNS answers may cause at a freshly restarted server."""
         slow_start = self._state.slow_start[server.info.role]
         capacity = self._state.capacities.min_capacity(server) * slow_start.initial_fraction
         rate = slow_start.sustainable_rate(capacity)
--- a/gladewalk/policy/dispatcher.py
+++ b/gladewalk/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The decision module's entry: events come in, actions go out (`gladewalk/interface/`)."""
+"""Entry point of the decision module: takes events, returns actions (`gladewalk/interface/`)."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .retries import RetryPolicy
 from .routing import PURGE_MARGIN_MS, RequestRouter
 
-SWEEP_INTERVAL_MS = 50.0  # between looks at silent servers and queued requests
+SWEEP_INTERVAL_MS = 50.0  # between checks for unresponsive servers and expired queued requests
 
 
 class Dispatcher:
-    """One dispatcher's decisions; composes its parts, which share a `RoutingState`."""
+    """Makes the decisions of one dispatcher; its components share a `RoutingState`."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Raises `InvalidSettingsError` for settings that contradict one another."""
@@ -29,11 +29,11 @@
         self._has_started = False
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings; raises `InvalidSettingsError` and changes nothing for contradictory ones."""
+        """Apply new settings; raises `InvalidSettingsError` and changes nothing for contradictory ones."""
         self.state.configure(settings)
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:  # noqa: C901 - a case an event
-        """Take an event; returns the actions that answer it, in their order."""
+    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:  # noqa: C901 - one case per event
+        """Handle an event; returns the resulting actions in the order in which to run them."""
         state = self.state
         state.now_ms, state.actions = max(now_ms, state.now_ms), []
         if not self._has_started:
@@ -73,7 +73,7 @@
             self.state.emit(api.Watch(True))
 
     def _sweep(self) -> None:
-        """Eject silent servers, end what waits in vain, and let go what can."""
+        """Eject unresponsive servers, end queued requests that can't be served in time, retry the others."""
         state = self.state
         state.emit(api.SetTimer(SWEEP_INTERVAL_MS, TimerToken.SWEEP))
         for server in state.busy_servers():
@@ -87,15 +87,15 @@
         state.purges.expire(state.now_ms - purge_ttl_ms)
 
     def _resume_waiting(self) -> None:
-        """Look again at whatever waits for a server."""
+        """Retry the DNS questions and requests that wait for a server."""
         self.dns_placement.retry_unresolved()
         self.router.drain_queue()
 
     def may_write(self, request_id: int, attempt_number: int, now_ms: float) -> bool:
-        """Whether an attempt may still be sent; asked as its first byte is written."""
+        """Whether an attempt may still be sent; to be called just before its first byte is written."""
         self.state.now_ms = max(now_ms, self.state.now_ms)
         return self.router.may_write(request_id, attempt_number)
 
     def may_resolve_to(self, question: api.ResolveRequest, server: str) -> bool:
-        """Whether a DNS answer may still name a server; asked as it is written."""
+        """Whether a DNS answer may still name a server; to be called just before the answer is written."""
         return self.dns_placement.may_resolve_to(question, server)
--- a/gladewalk/policy/dns_placement.py
+++ b/gladewalk/policy/dns_placement.py
@@ -1,4 +1,4 @@
-"""DNS placement: which caches a resolver is given, by the same homes and rules as requests."""
+"""DNS placement: which caches a DNS answer names, by the same homes and rules as for requests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .health import EndpointHealth
 from .routing import PURGE_MARGIN_MS
 
-DNS_LEASE_MS = 300_000.0  # for which an answer is assumed to be cached, whatever its time to live
+DNS_LEASE_MS = 300_000.0  # how long a resolver is assumed to cache an answer, whatever its time to live
 
 
 @dataclass(slots=True)
 class DnsPlacement:
-    """Answers that resolvers cache: counted as leases beforehand, since none can be called back."""
+    """Decides DNS answers; counts each as a lease before it is sent, as a cached answer can't be revoked."""
 
     state: RoutingState
     health: EndpointHealth
@@ -25,7 +25,7 @@
     candidates: CandidateSelector
 
     def on_resolve(self, question: api.ResolveRequest) -> None:
-        """Answer with the object's home, or the director itself; wait while no server at all is usable."""
+        """Answer with the object's home or the director itself; queue the question if no server is usable."""
         state, request_class = self.state, self.state.classes.get(question.class_name)
         if request_class is None:
             return state.emit(api.Reject(question.id))
@@ -35,7 +35,7 @@
         homes = self.candidates.homes(pending)
         upstreams = (*state.registry.hub_parents, *state.registry.remote_parents, *state.registry.origins)
         if not homes and not any(map(self.health.is_usable, upstreams)):
-            state.unresolved[question.id] = question  # until a server is usable or its client is gone
+            state.unresolved[question.id] = question  # until a server is usable or the client disconnects
             return None
         state.unresolved.pop(question.id, None)
         is_cacheable = homes and not request_class.is_write and not self._is_purge_unsettled(question)
@@ -44,16 +44,16 @@
         return state.emit(api.Resolved(question.id, tuple(server.info.name for server in servers), ttl_ms))
 
     def retry_unresolved(self) -> None:
-        """Answer the questions that waited, as far as a server is usable now."""
+        """Answer the queued questions for which a server is usable by now."""
         for question in list(self.state.unresolved.values()):
             self.on_resolve(question)
 
     def may_resolve_to(self, question: api.ResolveRequest, server: str) -> bool:
-        """Whether an answer may still be written: not after a drain or a purge since it was decided."""
+        """Whether an answer may still be written: not if a drain or a purge followed its decision."""
         return self.state.registry.is_ready(server) and not self._is_purge_unsettled(question)
 
     def _is_purge_unsettled(self, question: api.ResolveRequest) -> bool:
-        """Whether a cache may still hold a purged copy, which only a director can refuse."""
+        """Whether a cache may still have a purged copy; only requests through a director can exclude it."""
         since_ms = self.state.now_ms - self.state.settings.purge_settle_ms - PURGE_MARGIN_MS
         return self.state.purges.has_any_since(question.key, question.group, since_ms)
 
@@ -64,22 +64,22 @@
     def _select(
         self, question: api.ResolveRequest, pending: PendingRequest, homes: list[ServerRecord]
     ) -> list[ServerRecord]:
-        """The home, and the next cache if that holds the object too; else where a crowded one's goes."""
+        """The home, and the second home if that has the object; the second home alone if the home is full."""
         second = self.candidates.second_home(pending, homes)
-        is_held = second is not None and second in self.candidates.holders(pending)
-        servers = [homes[0], second] if second is not None and is_held else [homes[0]]
+        has_copy = second is not None and second in self.candidates.holders(pending)
+        servers = [homes[0], second] if second is not None and has_copy else [homes[0]]
         transfers = question.transfers / len(servers)
         granted = [server for server in servers if self._lease(server, question, pending, transfers)]
-        if granted or second is None or is_held:
+        if granted or second is None or has_copy:
             return granted
         return [second] if self._lease(second, question, pending, question.transfers) else []
 
     def _lease(
         self, server: ServerRecord, question: api.ResolveRequest, pending: PendingRequest, transfers: float
     ) -> bool:
-        """Count an answer as cached; False if that were too many for the server when it restarts.
+        """Count an answer as cached; False if the server could not bear so many when it restarts.
 
-        Guards against resolvers that keep answers past their time: none can be called back at a restart.
+        Resolvers keep answers past their time to live, and no answer can be revoked when a server restarts.
         """
         leases, now_ms = self.state.dns_lease_table(), self.state.now_ms
         lease = server.address, question.resolver, pending.object_id
--- a/gladewalk/policy/retries.py
+++ b/gladewalk/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: when and where one more attempt is harmless, what a failure rules out, and the retry budget."""
+"""Retries: when and where another attempt is harmless, what a failure rules out, and the retry budget."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NextStep(Enum):
-    """What follows for a request whose attempt has ended without an answer."""
+    """What to do with a request whose attempt has ended without a final answer."""
 
     ROUTE = auto()
     QUEUE = auto()
@@ -22,14 +22,14 @@
 
 
 class RetryPolicy:
-    """Decides on retries and hedges; each one that does not follow a miss is paid from the budget."""
+    """Decides on retries and hedges; except after misses and cancels, each takes a token from the budget."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
         self.budget = RetryBudget()
 
     def may_send(self, pending: PendingRequest) -> bool:
-        """Whether a further attempt may be sent at all."""
+        """Whether another attempt of a request may be sent to any server."""
         if pending.has_response_begun:
             return False
         if pending.is_idempotent:
@@ -37,7 +37,7 @@
         return not pending.in_flight and self.is_harmless(pending)
 
     def is_harmless(self, pending: PendingRequest, after_ms: float = 0.0) -> bool:
-        """Whether a send, that much later, to where the request may have run can have no second effect."""
+        """Whether sending the request again in `after_ms`, to where it may have run, has no second effect."""
         execution, request_class = pending.first_execution, pending.request_class
         if pending.is_idempotent or execution is None:
             return True
@@ -46,13 +46,13 @@
         return is_keyed and age_ms < request_class.deduplication_window_ms
 
     def is_client_retry_harmless(self, pending: PendingRequest, after_ms: float) -> bool:
-        """Whether the client may send the request again after that time, to wherever it is routed then."""
+        """Whether the client may send the request again in `after_ms`, wherever it is routed to then."""
         is_any_cache = pending.request_class.deduplication_scope is DeduplicationScope.ALL
         has_not_run = pending.is_idempotent or pending.first_execution is None
         return (is_any_cache or has_not_run) and self.is_harmless(pending, after_ms)
 
     def may_run_at(self, pending: PendingRequest, server: ServerRecord) -> bool:
-        """Whether a server drops the repeat of a keyed request that may have run."""
+        """Whether a request may run at a server; if keyed and sent before, only where repeats are dropped."""
         execution, request_class = pending.first_execution, pending.request_class
         scope = request_class.deduplication_scope
         is_keyed = request_class.idempotency is Idempotency.KEYED
@@ -62,24 +62,24 @@
         return server.info.zone == execution.place.zone and is_same_cell
 
     def next_step(self, outcome: api.Outcome, attempt: Attempt, pending: PendingRequest) -> NextStep:
-        """Rule out the hop that failed for this request, and decide how it goes on."""
+        """Exclude the hop that failed from this request's next attempts, and decide how to continue."""
         status, detail = outcome.status, outcome.detail
         if pending.is_write and detail is OutcomeDetail.SOURCE_REJECTED and self.budget.withdraw():
-            return NextStep.QUEUE  # the origin was full just then: once more, as capacity frees up
+            return NextStep.QUEUE  # the origin was full: send the write again once capacity is free
         if attempt.source is None and status is Status.MISS:
             pending.missed_at.append(attempt.host)
             return NextStep.ROUTE
         if attempt.source is not None and (status is Status.MISS or detail in SOURCE_FAILURES):
             pending.rule_out_source(attempt.source, attempt.host)
         elif status in (Status.RESET, Status.NOT_SENT) and attempt.host not in pending.lost_at:
-            pending.lost_at.append(attempt.host)  # lost on its way: the home still holds the object
-        elif status is not Status.CANCELLED:  # a hedge has ruled out already what was silent
+            pending.lost_at.append(attempt.host)  # only the connection failed: the home still has its copy
+        elif status is not Status.CANCELLED:  # before a cancel, `hedge` has excluded the unresponsive server
             pending.failed_hosts.append(attempt.host)
         needs_no_token = status in (Status.MISS, Status.CANCELLED)
         return NextStep.ROUTE if needs_no_token or self.budget.withdraw() else NextStep.REJECT_OR_FAIL
 
     def may_hedge(self, pending: PendingRequest) -> bool:
-        """Whether a request with an attempt at a silent server may have another one; pays for it."""
+        """Whether to hedge a request at an unresponsive server; takes a token from the retry budget if so."""
         is_open = pending.request.id in self._state.pending and not pending.has_response_begun
         may_repeat = pending.is_idempotent and len(pending.in_flight) <= 1
         return is_open and may_repeat and self.budget.withdraw()
