--- a/gladewalk/limits/concurrency.py
+++ b/gladewalk/limits/concurrency.py
@@ -1,34 +1,35 @@
-"""Adaptive concurrency limit of a server's link, where no load reports tell its capacity.
+"""Adaptive concurrency limit of a server's link, for deployments in which no load report gives its capacity.
 
-A link with room for k transfers at full pace that n share runs each at k/n of it. A sender sees its own
-transfers in flight, how long each took, and what was rejected. Two algorithms were weighed and measured in
-docs/overload.md: the gradient of latency over its baseline, and AIMD on answers that came late. Both start
-from an estimate and stay within a factor of it.
+When n transfers share a link that has capacity for k transfers at full speed, each runs at k/n of full speed.
+A sender knows its own transfers in flight, the duration of each, and the rejections. docs/overload.md
+compares measurements of two algorithms: the gradient of latency over its baseline, and AIMD on responses that
+missed their objective. Both start from an estimate of the capacity and stay within a factor of it.
 """
 
 from __future__ import annotations
 
 import math
 
-INITIAL_CAPACITY = 4.0  # transfers of a server of which nothing is known
-MIN_FRACTION = 0.5  # of an estimate that a server bears at the least; listed links are no exact measure
-MAX_FACTOR = 3.0  # over the estimate, or under it, at which a learned capacity stops
-FILL_FRACTION = 0.75  # of the slowdown that still meets the objective, up to which a server is filled
-SPREAD_DEVIATIONS = 0.8  # standard deviations that one sender's part of the traffic may lie over the mean
-EWMA_ALPHA = 0.05
-LOADED_LINK_EWMA_ALPHA = 0.002  # of the baseline, for answers of a crowded link
-SHARED_LINK_LOG_SLOWDOWN = 0.15  # from which a link is assumed to be shared out
-GAIN = 0.02  # part of the way to what an answer shows that the capacity goes
-LIGHT_LOAD_FRACTION = 0.7  # of the capacity in flight, up to which a link is not crowded
-REJECTION_STEP = 0.15  # that a rejection takes off the logarithm of the capacity
-REJECTION_BACKOFF_MS = 150.0  # of a server that rejected work, unless something ends there earlier
+INITIAL_CAPACITY = 4.0  # assumed concurrent transfers of a server about which nothing is known
+MIN_FRACTION = 0.5  # of an estimate that a server is assumed to bear; listed link capacities are inexact
+MAX_FACTOR = 3.0  # by which a learned capacity may exceed its estimate, or fall below it
+FILL_FRACTION = 0.75  # of the slowdown that still meets the objective, up to which a server is loaded
+SPREAD_DEVIATIONS = 0.8  # standard deviations by which one sender's share of the traffic may exceed the mean
+EWMA_ALPHA = 0.05  # weight of a new sample in moving averages
+LOADED_LINK_EWMA_ALPHA = 0.002  # weight in the latency baseline of a response over a link under higher load
+SHARED_LINK_LOG_SLOWDOWN = 0.15  # log slowdown above which transfers are assumed to share the link's capacity
+GAIN = 0.02  # fraction of the difference to a newly observed capacity by which the capacity is adjusted
+LIGHT_LOAD_FRACTION = 0.7  # fraction of the capacity in flight up to which a link counts as lightly loaded
+REJECTION_STEP = 0.15  # amount that a rejection subtracts from the logarithm of the capacity
+REJECTION_BACKOFF_MS = 150.0  # after a rejection, unless a response is received earlier
 
 
 def is_over_capacity(in_flight: int, capacity: float, senders: int, max_slowdown: float) -> bool:
-    """Whether one transfer more would slow a link past `max_slowdown`.
+    """Whether one more transfer would slow a link beyond `max_slowdown`.
 
-    `in_flight` are this sender's own; times the senders they stand for all. Guards against overload, in which
-    late answers crowd out those that could be in time.
+    `in_flight` counts this sender's own transfers; `senders` times as many are assumed in total. Guards
+    against overload, in which transfers that miss their objective take capacity from those that could still
+    meet it.
     """
     quota = max(1.0, FILL_FRACTION * max_slowdown) * max(1.0, capacity) / senders
     tolerance = SPREAD_DEVIATIONS * math.sqrt(quota * (1.0 - 1.0 / senders))
@@ -36,7 +37,7 @@
 
 
 class LatencyBaseline:
-    """Moving average of the logarithm of the time that a class's answers take on an uncrowded link."""
+    """Moving average of the logarithm of a class's transfer time over a lightly loaded link."""
 
     __slots__ = ("log_ms",)
 
@@ -44,7 +45,7 @@
         self.log_ms = math.nan
 
     def record(self, elapsed_ms: float, is_lightly_loaded: bool) -> float:
-        """Learn from an answer; returns the logarithm of its time over the baseline."""
+        """Learn from a response; returns the logarithm of the ratio of its time to the baseline."""
         log_ms = math.log(max(1.0, elapsed_ms))
         if math.isnan(self.log_ms):
             self.log_ms = log_ms
@@ -53,25 +54,25 @@
 
 
 class ConcurrencyLimit:
-    """One server's learned capacity, in transfers at full pace of all senders together."""
+    """One server's learned capacity: concurrent transfers at full speed, of all senders together."""
 
     __slots__ = ("estimate", "in_flight", "log_factor", "log_slowdown", "rejecting_until_ms")
 
     def __init__(self) -> None:
         self.estimate = INITIAL_CAPACITY
-        self.log_factor = 0.0  # logarithm of the capacity over the estimate
-        self.log_slowdown = 0.0  # moving averages, and of the transfers in flight with it
-        self.in_flight = 1.0
+        self.log_factor = 0.0  # logarithm of the ratio of the capacity to the estimate
+        self.log_slowdown = 0.0  # moving average over responses
+        self.in_flight = 1.0  # moving average of the transfers in flight at these responses
         self.rejecting_until_ms = 0.0
 
     @property
     def capacity(self) -> float:
-        """The capacity as learned."""
+        """The learned capacity."""
         return self.estimate * math.exp(self.log_factor)
 
     @property
     def min_capacity(self) -> float:
-        """A careful capacity, for plans in which too much would make the server fail."""
+        """A conservative capacity, for decisions in which a value too high would make the server fail."""
         return max(1.0, MIN_FRACTION * min(self.capacity, self.estimate))
 
     def _adjust(self, step: float) -> None:
@@ -79,7 +80,7 @@
         self.log_factor = min(limit, max(-limit, self.log_factor + step))
 
     def record_response(self, log_slowdown: float, in_flight: float) -> None:
-        """Learn from a complete answer, with `in_flight` transfers of all senders on the link."""
+        """Learn from a complete response, with `in_flight` transfers of all senders on the link."""
         self.log_slowdown += EWMA_ALPHA * (log_slowdown - self.log_slowdown)
         self.in_flight += EWMA_ALPHA * (in_flight - self.in_flight)
         log_in_flight = math.log(self.in_flight / self.estimate)
@@ -90,15 +91,15 @@
         self.rejecting_until_ms = 0.0
 
     def is_lightly_loaded(self, in_flight: float) -> bool:
-        """Whether so many transfers leave the link uncrowded."""
+        """Whether the link is lightly loaded with this many transfers."""
         return in_flight <= LIGHT_LOAD_FRACTION * self.capacity
 
     def record_rejection(self, now_ms: float) -> None:
-        """The server rejected an attempt; attempts that were sent together count once."""
+        """Learn from a rejected attempt; rejections during the backoff don't lower the capacity again."""
         if now_ms >= self.rejecting_until_ms:
             self._adjust(-REJECTION_STEP)
         self.rejecting_until_ms = now_ms + REJECTION_BACKOFF_MS
 
     def is_rejecting(self, now_ms: float) -> bool:
-        """Whether the backoff after a rejection lasts."""
+        """Whether the backoff after a rejection has not ended yet."""
         return now_ms < self.rejecting_until_ms
--- a/gladewalk/limits/retry_budget.py
+++ b/gladewalk/limits/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries and hedged requests in proportion to requests, so that they cannot amplify."""
+"""Retry budget: limits retries and hedges in proportion to requests, to prevent retry amplification."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class RetryBudget:
-    """A token bucket that every request fills a little and every retry or hedge empties by one."""
+    """A token bucket: every request adds a fraction of a token, every retry or hedge takes one."""
 
     def __init__(self) -> None:
         self.tokens = MAX_SAVED_RETRIES
 
     def deposit(self) -> None:
-        """Count a request."""
+        """Add a request's fraction of a token."""
         self.tokens = min(MAX_SAVED_RETRIES, self.tokens + RETRIES_PER_REQUEST)
 
     def withdraw(self) -> bool:
--- a/gladewalk/limits/slow_start.py
+++ b/gladewalk/limits/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start of restarted servers: their capacity model, and one sender's part of the load they bear.
+"""Slow start of restarted servers: their capacity model, and one sender's share of the load they can bear.
 
-Times are milliseconds of the caller's clock. Capacity is in transfers at full pace, work in milliseconds of
-one transfer.
+Times are milliseconds of the caller's clock. Capacity is counted in concurrent transfers at full speed, work
+in milliseconds of one transfer.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from .. import interface as api
 from ..interface import Role
 
-SAFETY_MARGIN = 0.8  # part of a server's budget that is planned with; capacities and means are estimates
-GOLDEN_RATIO = 0.6180339887498949  # multiples of it, modulo 1, fill the unit interval evenly
-BURST_FRACTION = 0.3  # of an overload window's budget that a sender may save up over one request
+SAFETY_MARGIN = 0.8  # usable fraction of a server's budget, since capacities and mean times are estimates
+GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 are spread evenly over the unit interval
+BURST_FRACTION = 0.3  # of its budget per overload window that a sender may save up beyond one request
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,26 +24,26 @@
 
     initial_fraction: float = 1.0
     ramp_ms: float = 0.0
-    overload_multiple: float = 1.0  # of the present capacity, at which the server fails
+    overload_multiple: float = 1.0  # of the current capacity: the load at which the server fails
 
     def is_warming_up(self, started_ms: float, now_ms: float) -> bool:
-        """Whether the ramp is not over; a `started_ms` of 0 stands for long ago."""
+        """Whether the ramp has not ended yet; a `started_ms` of 0 means that the server started long ago."""
         return started_ms > 0 and self.ramp_ms > 0 and now_ms < started_ms + self.ramp_ms
 
     def capacity_fraction(self, started_ms: float, at_ms: float) -> float:
-        """The least part of its full capacity that a server has at `at_ms`."""
+        """The least fraction of its full capacity that a server has at `at_ms`."""
         age_ms = max(0.0, at_ms - started_ms)
         if not started_ms or age_ms >= self.ramp_ms:
             return 1.0
         return self.initial_fraction + (1.0 - self.initial_fraction) * age_ms / self.ramp_ms
 
     def sustainable_rate(self, capacity: float) -> float:
-        """Work per millisecond, of all senders, that may be planned for a server of this present capacity."""
+        """Work per millisecond that all senders together may send to a server of this current capacity."""
         return SAFETY_MARGIN * self.overload_multiple * capacity
 
 
 def slow_start_by_role(settings: api.Settings) -> dict[Role, SlowStart]:
-    """The capacity model of each tier; an origin never restarts."""
+    """The slow-start model of each tier; an origin has none, as it never restarts."""
     return {
         Role.CACHE: SlowStart(
             settings.slow_start_fraction, settings.slow_start_ms, settings.overload_multiple
@@ -58,35 +58,35 @@
 
 
 def subset_position(dispatcher_index: int, hash_salt: int, rng: random.Random) -> float:
-    """A sender's position in [0, 1) among a server's senders: spread evenly by its index, else random."""
+    """A sender's position in [0, 1) among a server's senders: evenly spread by index, random without one."""
     if dispatcher_index < 0:
         return rng.random()
     return (dispatcher_index * GOLDEN_RATIO + hash_salt / 2.0**64) % 1.0
 
 
 class SlowStartBudget:
-    """One sender's part of a restarted server's budget: a token bucket with sender subsetting.
+    """One sender's share of a restarted server's budget: a token bucket with sender subsetting.
 
-    No sender knows what the others do. Guards against their sum: thirty senders that each saved up one
-    request would send thirty at once. So only as many senders take part as the server bears at one time, each
-    by its own position and with so much more of the budget, more of them as the server warms up; and they
-    start one after another.
+    No sender knows how much the others send, so their sum could overload the server: thirty senders that each
+    saved up one request would send thirty at once. Therefore only as many senders are active as the server
+    can serve requests at a time; each decides by its own position whether it is, and the active ones share
+    the whole budget. More senders become active as the server warms up, and they start one after another.
     """
 
     __slots__ = ("position", "tokens_ms", "updated_ms")
 
     def __init__(self) -> None:
-        self.tokens_ms = math.nan  # of work; not a number: does not take part
+        self.tokens_ms = math.nan  # milliseconds of work; NaN while this sender is not active
         self.updated_ms = 0.0
         self.position = math.nan
 
     def allows(
         self, now_ms: float, rate: float, senders: int, window_ms: float, mean_ms: float, position: float
     ) -> bool:
-        """Whether one more request may be sent now; its work is withdrawn afterwards, into debt if need be.
+        """Whether one more request may be sent now; the caller then withdraws its work, also beyond zero.
 
         `rate` is the work per millisecond of all `senders` together, `window_ms` the overload window, and
-        `mean_ms` the work of a mean request. Of `position`, in [0, 1), the first value is kept.
+        `mean_ms` the work of a mean request. `position`, in [0, 1), is stored at the first call.
         """
         if math.isnan(self.position):
             self.position = position
@@ -104,5 +104,5 @@
         return self.tokens_ms >= 0.0
 
     def withdraw(self, work_ms: float) -> None:
-        """Take the work of a request that is sent."""
+        """Subtract the work of a request that is sent."""
         self.tokens_ms -= work_ms
