--- a/gladewalk/registry/__init__.py
+++ b/gladewalk/registry/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher knows: servers, open requests, attempts, object locations. No I/O and no decisions."""
+"""A dispatcher's state: servers, pending requests, attempts, object locations. No I/O and no decisions."""
--- a/gladewalk/registry/capacity_estimates.py
+++ b/gladewalk/registry/capacity_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of what links bear, learned from answers and load reports. Nothing is decided here."""
+"""Estimates of link capacities, learned from responses and load reports. No decisions are made here."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .records import PendingRequest, ServerRecord
 from .servers import ServerRegistry
 
-SPARE_UTILIZATION = 0.8  # of a link, as reported, under which it is not crowded whatever is counted here
-LOAD_REPORT_TTL_MS = 1_500.0  # a few periods of the reports
+SPARE_UTILIZATION = 0.8  # reported utilization below which a link has spare capacity despite local counts
+LOAD_REPORT_TTL_MS = 1_500.0  # a few intervals between load reports
 SERVER_UTILIZATION, LINK_UTILIZATION = "util", "x1"  # fields of a load report
 
 
 class CapacityEstimates:
-    """Capacities of servers and until when load reports show spare capacity."""
+    """Capacities of servers, and until when load reports show spare capacity."""
 
     def __init__(self, registry: ServerRegistry, transfers: TransferEstimates) -> None:
         self._registry = registry
         self._transfers = transfers
-        self._baselines: dict[str, LatencyBaseline] = {}  # by class
-        self.link_spare_until_ms = 0.0  # until then a load report says that the inbound link is not full
+        self._baselines: dict[str, LatencyBaseline] = {}  # by request class
+        self.link_spare_until_ms = 0.0  # until when a load report shows spare capacity of the inbound link
 
     def configure(self, settings: api.Settings, senders: int) -> None:
-        """Take settings, and how many dispatchers of this location send."""
+        """Apply settings; `senders` is the number of dispatchers of this location."""
         self._settings, self._senders = settings, senders
 
     def capacity(self, server: ServerRecord) -> float:
-        """Transfers at full pace that a server's link bears: as learned, else as listed."""
+        """Concurrent transfers at full speed that a server's link can bear: learned, else as listed."""
         if self._settings.infers_capacity:
             return server.concurrency_limit.capacity
         return server.info.capacity
@@ -42,7 +42,7 @@
         return server.info.capacity if self._settings.capacities_listed else 1.0
 
     def record_load_report(self, server: ServerRecord, report: dict[str, float], now_ms: float) -> None:
-        """Let a report of spare capacity overrule the counts of attempts, which include waiting fills."""
+        """Record a load report. Spare capacity overrides attempt counts, which include fills that wait."""
         until_ms = _spare_until_ms(report.get(SERVER_UTILIZATION), now_ms)
         if until_ms is not None:
             server.spare_capacity_until_ms = until_ms
@@ -52,12 +52,14 @@
                 self.link_spare_until_ms = until_ms
 
     def record_hit(self, elapsed_ms: float, pending: PendingRequest, server: ServerRecord) -> None:
-        """Learn from a hit: the server's slowdown and capacity, and the object's transfer time."""
+        """Learn the server's slowdown and capacity, and the object's transfer time, from a hit."""
         in_flight = len(server.attempts) * self._senders
         if server.info.role is Role.CACHE and self._settings.infers_capacity:
-            limit, with_this = server.concurrency_limit, in_flight + self._senders
+            limit, in_flight_before = server.concurrency_limit, in_flight + self._senders
             baseline = self._baselines.setdefault(pending.request_class.name, LatencyBaseline())
-            limit.record_response(baseline.record(elapsed_ms, limit.is_lightly_loaded(with_this)), with_this)
+            limit.record_response(
+                baseline.record(elapsed_ms, limit.is_lightly_loaded(in_flight_before)), in_flight_before
+            )
         slowdown = max(1.0, elapsed_ms) / max(1.0, self._transfers.transfer_ms(pending))
         server.log_slowdown += EWMA_ALPHA * (math.log(slowdown) - server.log_slowdown)
         if pending.request.size_kb:
@@ -70,7 +72,7 @@
 
 
 def _spare_until_ms(utilization: float | None, now_ms: float) -> float | None:
-    """Until when a utilization proves spare capacity; None for a value that can't be one."""
+    """Until when a reported utilization shows spare capacity; None if it is not a valid value."""
     if not isinstance(utilization, int | float) or not 0.0 <= utilization < math.inf:
         return None
     return now_ms + LOAD_REPORT_TTL_MS if utilization < SPARE_UTILIZATION else 0.0
--- a/gladewalk/registry/execution_log.py
+++ b/gladewalk/registry/execution_log.py
@@ -1,4 +1,4 @@
-"""Where keyed requests may have run: kept per pending request, and per idempotency key across requests."""
+"""Where keyed requests may have run: per pending request and, across requests, per idempotency key."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class ExecutionLog:
-    """Records sends that may have run. Times are milliseconds of the caller's clock."""
+    """Records sent attempts that may have run. Times are milliseconds of the caller's clock."""
 
     def __init__(self) -> None:
         self._keys: IdempotencyKeys[api.Server] = IdempotencyKeys()
 
     def start(self, pending: PendingRequest, now_ms: float) -> None:
-        """Take over what earlier requests with the same idempotency key may have done."""
+        """Initialize a request with the first execution of earlier requests with the same idempotency key."""
         request_class, key = pending.request_class, pending.request.idempotency_key
         if request_class.idempotency is Idempotency.KEYED and key:
             max_age_ms = request_class.deduplication_window_ms + request_class.deadline_ms
             pending.first_execution = self._keys.first_execution(key, now_ms, max_age_ms)
 
     def record_sent(self, pending: PendingRequest, endpoint: api.Server, now_ms: float) -> None:
-        """An attempt is sent, and may run from now on."""
+        """Record that an attempt is sent and may run from now on."""
         if key := pending.request.idempotency_key:
             self._keys.record_sent(key, now_ms, endpoint)
 
     def record_outcome(self, status: Status, attempt: Attempt, pending: PendingRequest) -> None:
-        """An attempt has ended: it has not run, or it may have."""
+        """Record by the status of an ended attempt whether it has not run or may have run."""
         if status in NOT_RUN_STATUSES:
             key = pending.request.idempotency_key
             self._keys.record_not_run(key, attempt.sent_ms, attempt.endpoint)
--- a/gladewalk/registry/object_locations.py
+++ b/gladewalk/registry/object_locations.py
@@ -1,4 +1,4 @@
-"""Bounded maps by object: which servers hold it, what its transfer takes, when it was purged.
+"""Bounded maps by object: which servers have it, how long its transfer takes, when it was purged.
 
 Times are milliseconds of the caller's clock.
 """
@@ -13,15 +13,15 @@
 PurgeKey = tuple[str, int]  # "key" or "group", number
 Value = TypeVar("Value")
 
-LOCATION_TTL_MS = 30_000.0  # after which a location is forgotten; given by the design page
+LOCATION_TTL_MS = 30_000.0  # after which a location is forgotten; specified by the design
 MAX_OBJECTS = 8192  # bounds memory
 
 
 class BoundedObjectMap(dict[ObjectId, Value]):
-    """A map by object that drops the entry set longest ago when it has too many."""
+    """A map by object that drops the least recently set entry when it has too many."""
 
     def put(self, object_id: ObjectId, value: Value) -> None:
-        """Set an entry, as the youngest."""
+        """Set an entry, as the most recent one."""
         self.pop(object_id, None)
         self[object_id] = value
         if len(self) > MAX_OBJECTS:
@@ -29,20 +29,20 @@
 
 
 class ObjectLocations(BoundedObjectMap[dict[str, float]]):
-    """For each object the servers that held it, with the time at which that was last seen."""
+    """For each object the servers that had it, with the time at which each was last seen to have it."""
 
     def record(self, object_id: ObjectId, server: str, now_ms: float) -> None:
-        """A server was seen to hold an object."""
+        """Record that a server has an object."""
         seen = self.get(object_id, {})
         recent = {name: at_ms for name, at_ms in seen.items() if now_ms - at_ms < LOCATION_TTL_MS}
         self.put(object_id, recent | {server: now_ms})
 
     def remove(self, object_id: ObjectId, server: str) -> None:
-        """A server was seen to lack an object."""
+        """Record that a server does not have an object."""
         self.get(object_id, {}).pop(server, None)
 
     def last_seen_ms(self, object_id: ObjectId, server: str) -> float:
-        """When a server was last seen to hold an object; minus infinity if never."""
+        """When a server was last seen to have an object; minus infinity if never."""
         return self.get(object_id, {}).get(server, -math.inf)
 
     def holders_since(
@@ -54,10 +54,10 @@
 
 
 class PurgeLog(dict[PurgeKey, float]):
-    """When objects and groups were last purged, the purge recorded longest ago in front."""
+    """When objects and groups were last purged, in the order in which the purges were recorded."""
 
     def record(self, key: int | None, group: int, at_ms: float) -> None:
-        """An object, or with no key its whole group, was purged."""
+        """Record the purge of an object or, without a key, of its whole group."""
         purge_key = ("group", group) if key is None else ("key", key)
         self[purge_key] = max(at_ms, self.pop(purge_key, at_ms))
 
@@ -66,7 +66,7 @@
         return max(self.get(("key", key), -math.inf), self.get(("group", group), -math.inf))
 
     def has_any_since(self, key: int, group: int | None, since_ms: float) -> bool:
-        """Whether an object was purged after that time; without a group it may be in each of them."""
+        """Whether an object may have been purged after `since_ms`; without a group, any group counts."""
         candidates = ("key", key), ("group", group)
         recent = (purge_key for purge_key, at_ms in self.items() if at_ms > since_ms)
         return any(
@@ -74,6 +74,6 @@
         )
 
     def expire(self, until_ms: float) -> None:
-        """Drop the purges up to that time."""
+        """Drop the purges up to `until_ms`."""
         while self and (oldest := next(iter(self.items())))[1] <= until_ms:
             del self[oldest[0]]
--- a/gladewalk/registry/outcome_recorder.py
+++ b/gladewalk/registry/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Learning from outcomes: health of the hops, fill quotas, object locations. Nothing is decided here."""
+"""Learns from outcomes: health of the hops, fill quotas, object locations. No decisions are made here."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 from .records import Attempt, PendingRequest, ServerRecord
 from .state import RoutingState
 
-MIN_OUTAGE_MS = 400.0  # an unreachable server without an answer for this long has restarted: the usual gap
-MIN_REMAINING_MS = 60.0  # a request with less time than this gets its final answer now: over one sweep
+# An unreachable server without a response for this long, the usual gap between responses, counts as restarted.
+MIN_OUTAGE_MS = 400.0
+MIN_REMAINING_MS = 60.0  # a request with less time left is ended at once; longer than one sweep interval
 ORIGIN_DETAILS = (OutcomeDetail.ORIGIN_FAILED, OutcomeDetail.FILLED_BY_ORIGIN)
 
 
 class HealthRecorder(Protocol):
-    """Where failures of servers are recorded."""
+    """Records failures of servers."""
 
     origin_breaker: OriginBreaker
 
     def record_failure(self, server: ServerRecord, is_unreachable: bool) -> None:
-        """The server has failed, or could not be reached."""
+        """Record that the server has failed or could not be reached."""
 
 
 class OutcomeRecorder:
-    """Records an ended attempt in the health, capacity and locations of the servers it went through."""
+    """Updates health, capacity and object locations of the servers that an ended attempt went through."""
 
     def __init__(self, state: RoutingState, health: HealthRecorder) -> None:
         self._state = state
         self._health = health
 
     def record(self, outcome: api.Outcome, attempt: Attempt, pending: PendingRequest) -> None:
-        """Learn from how an attempt ended that is out of the counts already."""
+        """Learn from the outcome of an attempt that is no longer counted as in flight."""
         registry = self._state.registry
         host, source = registry.get(attempt.host), registry.get(attempt.source)
         if outcome.detail in ORIGIN_DETAILS or host in registry.origins or source in registry.origins:
@@ -61,9 +62,8 @@
         if status in (Status.OK, Status.MISS, Status.REJECTED):
             host.record_response(self._state.now_ms)
             return
-        was_unresponsive = (
-            self._state.now_ms - host.last_response_ms > MIN_OUTAGE_MS
-        )  # else the connection is at fault
+        # A reset soon after another response is a failure of the connection only.
+        was_unresponsive = self._state.now_ms - host.last_response_ms > MIN_OUTAGE_MS
         is_failure = status in (Status.CONNECT_FAILED, Status.ERROR)
         if is_failure or (status is Status.RESET and was_unresponsive):
             self._health.record_failure(host, is_unreachable=status is Status.CONNECT_FAILED)
@@ -109,8 +109,8 @@
         if not is_timeout and not is_rejection and detail is not OutcomeDetail.SOURCE_FAILED:
             return
         source.fill_quota = decrease_quota(source.fill_quota)
-        # A fill that this dispatcher cut for its age is no failure of the source.
-        is_cut = is_timeout and self._state.now_ms < pending.deadline_ms - MIN_REMAINING_MS
-        if not is_cut and not is_rejection:
-            # A rejecting host has not even reached the source.
+        # A fill that the sojourn limit ended is no failure of the source.
+        is_limited = is_timeout and self._state.now_ms < pending.deadline_ms - MIN_REMAINING_MS
+        if not is_limited and not is_rejection:
+            # A host that rejects the fill with SOURCE_FAILED could not connect to the source.
             self._health.record_failure(source, is_unreachable=status is Status.REJECTED)
--- a/gladewalk/registry/request_queue.py
+++ b/gladewalk/registry/request_queue.py
@@ -7,14 +7,14 @@
 
 from .records import PendingRequest
 
-MAX_REQUEUED = 8  # requests that find no source before the rest isn't looked at; bounds the cost of a drain
+MAX_REQUEUED = 8  # requests without a source after which a drain stops; bounds its cost
 
 
 class RequestQueue:
-    """Holds request ids; a request that has left by another way is skipped."""
+    """A queue of request ids; requests that have ended or were routed in the meantime are skipped."""
 
     def __init__(self, pending: Mapping[int, PendingRequest]) -> None:
-        """`pending` holds the requests without a final answer, by id."""
+        """`pending` contains the requests without a final answer, by id."""
         self._pending = pending
         self._ids: deque[int] = deque()
 
@@ -22,24 +22,24 @@
         return len(self._ids)
 
     def add(self, pending: PendingRequest) -> None:
-        """Append a request, unless it waits already."""
+        """Append a request unless it is queued already."""
         if not pending.is_queued:
             pending.is_queued = True
             self._ids.append(pending.request.id)
 
     def waiting(self) -> list[PendingRequest]:
-        """The requests that wait, the first to come in front."""
+        """The queued requests, the earliest first."""
         requests = (self._pending.get(request_id) for request_id in self._ids)
         return [pending for pending in requests if pending is not None and pending.is_queued]
 
     def drain(self, route: Callable[[PendingRequest], object]) -> None:
-        """Route the requests in their order; those that are queued anew stay in front of the rest."""
-        remaining, misses = len(self._ids), 0
-        while remaining and misses < MAX_REQUEUED:
+        """Route the requests in their order; those that are queued again keep their place before the rest."""
+        remaining, requeued = len(self._ids), 0
+        while remaining and requeued < MAX_REQUEUED:
             remaining -= 1
             pending = self._pending.get(self._ids.popleft())
             if pending is not None and pending.is_queued:
                 pending.is_queued = False
                 route(pending)
-                misses += pending.is_queued
-        self._ids.rotate(misses)
+                requeued += pending.is_queued
+        self._ids.rotate(requeued)
--- a/gladewalk/registry/servers.py
+++ b/gladewalk/registry/servers.py
@@ -1,4 +1,4 @@
-"""The server registry: every listed server, indexed by tier and location."""
+"""Server registry: every listed server, indexed by tier and location."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from .records import ServerRecord
 from .topology import Topology
 
-ASSUMED_LINK_FRACTION = 0.5  # of its caches' links that a location's inbound link bears, if it isn't listed
-ASSUMED_FIRST_BYTE_MS = 20.0
-ASSUMED_HUB_STEP_MS = 30.0  # for each step round the ring of hubs
+ASSUMED_LINK_FRACTION = 0.5  # assumed ratio of a location's inbound link to the sum of its caches' links
+ASSUMED_FIRST_BYTE_MS = 20.0  # assumed time to the first byte from a server of the own hub
+ASSUMED_HUB_STEP_MS = 30.0  # added per step of distance on the ring of hubs
 
 
 class ServerRegistry:
-    """All known servers. A request's cost doesn't grow with them: the indexes hold who is listed ready."""
+    """All known servers. Indexes of those listed ready keep a request's cost independent of their number."""
 
     def __init__(self) -> None:
         self.servers: dict[str, ServerRecord] = {}
-        self.own_caches: list[ServerRecord] = []  # of this location
-        self.sibling_caches: list[list[ServerRecord]] = []  # of each other location, nearest hub first
+        self.own_caches: list[ServerRecord] = []  # caches of this location
+        self.sibling_caches: list[list[ServerRecord]] = []  # caches by other location, nearest hub first
         self.hub_parents: list[ServerRecord] = []
         self.remote_parents: list[ServerRecord] = []
         self.origins: list[ServerRecord] = []
-        self.home_order: dict[ObjectId, list[ServerRecord]] = {}  # rendezvous order until a weight changes
-        self.link_capacity = 0.0  # transfers at full pace that the inbound link bears; 0: unknown
+        self.home_order: dict[ObjectId, list[ServerRecord]] = {}  # rendezvous orders, until a weight changes
+        self.link_capacity = 0.0  # concurrent transfers of the inbound link; 0: unknown
         self._assumed_cache_capacity = 0.0
 
     def configure(self, settings: api.Settings, topology: Topology) -> None:
-        """Take settings, at the start or later; the servers stay as they are."""
+        """Apply settings, at the start or later; the known servers are kept."""
         self._settings, self.topology = settings, topology
         self._assumed_cache_capacity = 0.0
         self._rebuild_indexes()
 
     def get(self, name: str | None) -> ServerRecord | None:
-        """The record of a server, if it is known."""
+        """The record of a server, or None if it is unknown."""
         return self.servers.get(name or "")
 
     def is_ready(self, name: str) -> bool:
@@ -44,7 +44,7 @@
         return name in self.servers and self.servers[name].info.state is ServerState.READY
 
     def apply(self, event: api.EndpointList) -> None:
-        """Apply an endpoint list: a restart resets a server, one that is gone leaves when idle."""
+        """Apply an endpoint list: reset restarted servers, remove those that are gone once they are idle."""
         for info in event.servers:
             server = self.servers.get(info.name)
             if server is None:
@@ -81,12 +81,13 @@
         self._estimate_capacities(parents)
 
     def _estimate_capacities(self, parents: list[ServerRecord]) -> None:
-        """Estimate the inbound link by the caches' listed links, or the caches' links by the inbound one."""
+        """Estimate the inbound link's capacity from the caches' listed links, or the reverse."""
         estimate = 0.0
         if self._settings.capacities_listed:
             estimate = ASSUMED_LINK_FRACTION * sum(server.info.capacity for server in self.own_caches)
         self.link_capacity = self.topology.link_capacity or estimate
-        is_first = not self._assumed_cache_capacity  # later, a cache that leaves takes its capacity along
+        # Estimated once: when a cache leaves later, the links of the other caches stay the same.
+        is_first = not self._assumed_cache_capacity
         if self.topology.link_capacity and self.own_caches and is_first:
             total = self.link_capacity / ASSUMED_LINK_FRACTION
             self._assumed_cache_capacity = total / len(self.own_caches)
--- a/gladewalk/registry/state.py
+++ b/gladewalk/registry/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the decision module share. Nothing is decided here."""
+"""The state that the components of the decision module share. No decisions are made here."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from .dns_leases import DnsLeaseTable
 
-AttemptKey = tuple[int, int]  # request id, number of its attempt
+AttemptKey = tuple[int, int]  # request id, attempt number
 
 
 class TimerToken(StrEnum):
@@ -31,7 +31,7 @@
 
 
 class RoutingState:
-    """What one dispatcher knows, with the clock, the random numbers and the actions of the present event."""
+    """The state of one dispatcher, with its clock, random numbers and the actions for the current event."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.random = random.Random(seed)
@@ -45,14 +45,14 @@
         self.purges = PurgeLog()
         self.pending: dict[int, PendingRequest] = {}
         self.attempts: dict[AttemptKey, tuple[Attempt, PendingRequest]] = {}
-        self.queue = RequestQueue(self.pending)  # of requests that wait for a source
-        self.unresolved: dict[int, api.ResolveRequest] = {}  # asked while nothing can serve
-        self.dns_leases: DnsLeaseTable | None = None  # None: nobody has asked by DNS
-        self.inbound_fills = 0  # in flight from outside this location, over its inbound link
+        self.queue = RequestQueue(self.pending)  # requests that wait for a source
+        self.unresolved: dict[int, api.ResolveRequest] = {}  # DNS questions that wait for a usable server
+        self.dns_leases: DnsLeaseTable | None = None  # None until the first DNS question
+        self.inbound_fills = 0  # fills in flight from outside this location, over its inbound link
         self.configure(settings)
 
     def configure(self, settings: api.Settings) -> None:
-        """Take settings, at the start or later; what was learned stays, pending requests keep their class.
+        """Apply settings, at the start or later; learned values stay, pending requests keep their class.
 
         Raises `InvalidSettingsError` for settings that contradict one another.
         """
@@ -66,37 +66,37 @@
         self.registry.configure(settings, self.topology)
 
     def emit(self, action: api.Action) -> None:
-        """Add an action to those that answer the present event."""
+        """Add an action to those returned for the current event."""
         self.actions.append(action)
 
     def is_warming_up(self, server: ServerRecord) -> bool:
-        """Whether a server restarted lately and has not its full capacity yet."""
+        """Whether a server has restarted recently and does not have its full capacity yet."""
         return self.slow_start[server.info.role].is_warming_up(server.started_ms, self.now_ms)
 
     def capacity_fraction(self, server: ServerRecord) -> float:
-        """The least part of its full capacity that a server has now."""
+        """The least fraction of its full capacity that a server has now."""
         slow_start = self.slow_start[server.info.role]
         return slow_start.capacity_fraction(server.started_ms, self.now_ms)
 
     def sustainable_rate(self, server: ServerRecord) -> float:
-        """Work per millisecond, of all senders, that a server bears which is warming up."""
+        """Work per millisecond, of all senders together, that a server which is warming up can bear."""
         slow_start = self.slow_start[server.info.role]
         at_ms = server.slow_start_budget.updated_ms or self.now_ms
         fraction = slow_start.capacity_fraction(server.started_ms, at_ms)
         return slow_start.sustainable_rate(self.capacities.min_capacity(server) * fraction)
 
     def busy_servers(self) -> list[ServerRecord]:
-        """The servers that attempts in flight went to or are filled from, by name."""
+        """The hosts and sources of the attempts in flight, ordered by name."""
         names = {name for attempt, _ in self.attempts.values() for name in (attempt.host, attempt.source)}
         servers = (self.registry.get(name) for name in sorted(name for name in names if name))
         return [server for server in servers if server is not None]
 
     def last_purge_ms(self, pending: PendingRequest) -> float:
-        """When a request's object was last purged; minus infinity if never."""
+        """When the request's object was last purged; minus infinity if never."""
         return self.purges.last_ms(pending.request.key, pending.request.group)
 
     def start_attempt(self, pending: PendingRequest, host: ServerRecord, source: ServerRecord | None) -> None:
-        """Count an attempt that is sent to `host`, and filled from `source` if it is named."""
+        """Record an attempt as sent to `host`, and as filled from `source` unless that is None."""
         key = (pending.request.id, pending.attempts_sent)
         pending.is_queued = False
         pending.attempts_sent += 1
@@ -115,13 +115,13 @@
             self.inbound_fills += source.info.zone != self.settings.zone
 
     def withdraw_slow_start_budget(self, server: ServerRecord, pending: PendingRequest) -> None:
-        """Count a request against the budget of its server, if that is warming up."""
+        """Withdraw a request's work from the slow-start budget of a server that is warming up."""
         if self.is_warming_up(server):
             mean_ms = self.estimates.mean_ms_by_class[pending.request_class.name]
             server.slow_start_budget.withdraw(mean_ms)
 
     def end_attempt(self, outcome: api.Outcome) -> tuple[Attempt, PendingRequest] | None:
-        """Take an ended attempt out of the counts; None if it is not known."""
+        """Remove an ended attempt from the attempts in flight; returns None if it is unknown."""
         key = (outcome.id, outcome.attempt)
         if key not in self.attempts:
             return None
@@ -137,7 +137,7 @@
         return attempt, pending
 
     def dns_lease_table(self) -> DnsLeaseTable:
-        """The DNS answers that resolvers may cache; made, and its module imported, at the first use."""
+        """The DNS answers that resolvers may have cached; created, and its module imported, on first use."""
         if self.dns_leases is None:
             from .dns_leases import DnsLeaseTable
 
--- a/gladewalk/registry/topology.py
+++ b/gladewalk/registry/topology.py
@@ -1,4 +1,7 @@
-"""The place of a dispatcher in its deployment: zones, their hubs in a ring, and the senders in each zone."""
+"""The position of a dispatcher in its deployment: zones, their hubs, and the senders in each zone.
+
+A hub is a group of neighbouring zones with parents of their own; the hubs form a ring.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class Topology:
-    """Distances and sender counts as the settings tell. Distances are steps round the ring of hubs."""
+    """Distances and sender counts from the settings. Distances are steps on the ring of hubs."""
 
     def __init__(self, settings: api.Settings) -> None:
         zones, zone = settings.zones, settings.zone
@@ -24,7 +27,7 @@
         rate = settings.client_rate_kb_per_s
         links = dict(zip(zones, settings.inbound_link_kb_per_s, strict=False)) if rate else {}
         known = [link / rate for link in links.values() if link]
-        # Transfers at full pace that this zone's inbound link bears, and a zone's on average; 0: unknown.
+        # Concurrent transfers at full speed over this zone's inbound link, and over a mean one; 0: unknown.
         self.link_capacity = links.get(zone, 0.0) / (rate or 1.0)
         self.mean_link_capacity = sum(known) / len(known) if known else 0.0
 
@@ -33,10 +36,10 @@
         return self._hub_of_zone.get(zone, UNKNOWN_HUB)
 
     def is_own_hub(self, zone: str) -> bool:
-        """Whether a zone belongs to the same hub as this dispatcher's."""
+        """Whether a zone belongs to the same hub as this dispatcher's zone."""
         return self.hub_of(zone) == self.hub
 
     def distance(self, zone: str) -> int:
-        """Steps round the ring of hubs to a zone."""
+        """The number of steps on the ring of hubs to a zone's hub."""
         steps = abs(self.hub_of(zone) - self.hub) % self._ring_size
         return min(steps, self._ring_size - steps)
