--- a/gladewalk/errors.py
+++ b/gladewalk/errors.py
@@ -1,9 +1,9 @@
-"""Base class of every exception that gladewalk raises for a reason of its own."""
+"""Base classes of the exceptions that gladewalk itself defines."""
 
 
 class GladewalkError(Exception):
-    """A failure that gladewalk itself detects; the message says what is wrong and where."""
+    """A failure that gladewalk detects; the message says what is wrong and where."""
 
 
 class InvalidSettingsError(GladewalkError, ValueError):
-    """Settings whose values contradict one another or lie outside their range."""
+    """Settings whose values contradict one another or are out of range."""
--- a/gladewalk/interface/__init__.py
+++ b/gladewalk/interface/__init__.py
@@ -1,8 +1,8 @@
-"""Events, actions and settings of the decision module. Nothing is decided here.
+"""Events, actions and settings of the decision module. Defines data types only.
 
-The dispatcher (`gladewalk.policy.Dispatcher`) takes one event at a time and returns the actions that answer
-it. Times are milliseconds (suffix `_ms`) of the caller's clock, sizes kilobytes (`_kb`). A server is named by
-an opaque string that stays the same when its process restarts.
+The dispatcher (`gladewalk.policy.Dispatcher`) handles one event at a time and returns the resulting actions.
+Times are milliseconds (suffix `_ms`) of the caller's clock, sizes kilobytes (`_kb`). A server is named by an
+opaque string that stays the same when its process restarts.
 """
 
 from .actions import (
--- a/gladewalk/interface/actions.py
+++ b/gladewalk/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the decision module: what its caller is to do, in their order."""
+"""Actions of the decision module, which its caller runs in the order in which they are returned."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Lookup:
-    """Ask a server for a fresh copy that it holds."""
+    """Request an object from a server's cache; the outcome is a miss if there is no fresh copy."""
 
     id: int
     server: str
@@ -16,23 +16,23 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """Ask a server for an object, filled from `source` on a miss (the server itself: no fill)."""
+    """Request an object from a server, which fills a miss from `source` (if that is the server: no fill)."""
 
     id: int
     server: str
     source: str
-    max_age_ms: float = 0.0  # of the copy that will do; 0: any fresh one
-    cache_rank: int = 1  # at which the copy is cached; 0: not at all
-    join_fill: bool = False  # wait for a fill of the object that is under way
-    cached_only: bool = False  # the source gives only what it holds
-    parent_caches: bool = True
-    revalidate: bool = False  # serve a copy near its end and fetch it anew behind
+    max_age_ms: float = 0.0  # maximum age of an acceptable copy; 0: any fresh one
+    cache_rank: int = 1  # rank with which the copy is cached; 0: not cached
+    join_fill: bool = False  # wait for a fill of the object that is in flight
+    cached_only: bool = False  # the source responds only from its own cache
+    parent_caches: bool = True  # a parent on the way caches the object
+    revalidate: bool = False  # serve a copy that is about to expire, and refresh it in the background
     timeout_ms: float = 0.0  # 0: the request's own deadline
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """The final answer: not served, may be sent again after `retry_after_ms`."""
+    """The final answer is a rejection: the client may send the request again after `retry_after_ms`."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """The final answer: failed, and it is not known that a repeat is harmless."""
+    """The final answer is a failure: a repeat of the request is not known to be harmless."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Resolved:
-    """The answer to a `ResolveRequest`: equivalent servers; none stands for this director itself."""
+    """The answer to a `ResolveRequest`: equivalent servers; an empty tuple means this director itself."""
 
     id: int
     servers: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Give up an attempt that is out."""
+    """Cancel an attempt in flight."""
 
     id: int
     attempt: int
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NotifyPeers:
-    """Send a message to another dispatcher, or with no number to all."""
+    """Send a message to another dispatcher; `peer` None: to all of them."""
 
     peer: int | None
     content: bytes = field(default=b"")
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Bring a `Timer` event with this token after the delay."""
+    """Deliver a `Timer` event with this token after the delay."""
 
     delay_ms: float
     token: str
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Write a line to the log."""
+    """Write a line to the caller's log."""
 
     line: str
 
--- a/gladewalk/interface/events.py
+++ b/gladewalk/interface/events.py
@@ -1,6 +1,6 @@
-"""Events of the decision module: what has happened, one at a time.
+"""Events of the decision module, which its caller delivers one at a time.
 
-Those made for every request are not frozen, which would double the time to make one.
+The classes that are created for every request are not frozen, as that would double their creation time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ServerState(Enum):
-    """The life cycle of a server as the endpoint list tells it."""
+    """The life cycle state of a server in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,16 +26,16 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list holds."""
+    """What an endpoint list contains."""
 
     DELTA = "delta"  # the servers that changed
     COMPLETE = "complete"
-    PERSISTED = "persisted"  # the last complete list from before this start
-    FAILED = "failed"  # discovery could not be reached
+    PERSISTED = "persisted"  # the last complete list that was stored before this start
+    FAILED = "failed"  # empty, as the endpoint discovery could not be reached
 
 
 class Status(Enum):
-    """How an attempt ended; counter names are made of the values."""
+    """How an attempt ended; the values are part of counter names."""
 
     OK = "ok"
     ERROR = "error"
@@ -49,7 +49,7 @@
 
 
 class OutcomeDetail(Enum):
-    """Where an attempt's answer came from, or which hop failed."""
+    """Which hop served an attempt, or which hop failed."""
 
     NONE = "none"
     HIT = "hit"
@@ -64,7 +64,7 @@
     ORIGIN_FAILED = "origin_failed"
 
 
-# Details that only the source itself can have given.
+# Details that are possible only if the source itself has responded.
 SOURCE_RESPONSE_DETAILS = (
     OutcomeDetail.SOURCE_LACKS,
     OutcomeDetail.SOURCE_REJECTED,
@@ -79,16 +79,16 @@
     name: str
     role: Role
     zone: str
-    capacity: float = 1.0  # transfers at full pace that its link bears
+    capacity: float = 1.0  # concurrent transfers at full speed that its link can bear
     state: ServerState = ServerState.READY
     started_ms: float = 0.0  # last start of its process; 0: long ago
-    cell: int = 0
-    address: str = ""  # where it is reached, if listed: another server may come to stand there later
+    cell: int = 0  # caches of one cell drop repeats of each other's keyed requests (`DeduplicationScope`)
+    address: str = ""  # address to connect to, if listed; later another server may have the same address
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The endpoint list, or a change of it, has come; or it could not be had."""
+    """The endpoint list or a change of it was received, or the list could not be fetched."""
 
     kind: EndpointListKind
     servers: tuple[Server, ...] = ()
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request awaits its final answer."""
+    """A client's request was received and needs a final answer."""
 
     id: int
     class_name: str
@@ -108,12 +108,12 @@
     tenant: str | None = None
     is_client_retry: bool = False
     is_write: bool = False
-    idempotency_key: str = ""  # the same for all attempts of a client at one keyed request; empty: unknown
+    idempotency_key: str = ""  # the same in all of a client's retries of one keyed request; empty: unknown
 
 
 @dataclass(slots=True)
 class ResolveRequest:
-    """A resolver asks where its clients fetch an object, and may cache the answer past its time to live."""
+    """A resolver queries where its clients fetch an object; it may keep the answer past its time to live."""
 
     id: int
     class_name: str
@@ -122,12 +122,12 @@
     resolver: str
     part: int = 0
     group: int | None = None  # the purge group; None: unknown
-    transfers: float = 1.0  # at a time that a cached answer may bring to a server
+    transfers: float = 1.0  # concurrent transfers that a cached answer may cause at a server
 
 
 @dataclass(slots=True)
 class FirstByte:
-    """The answer of an attempt has begun, and is passed on to the client."""
+    """The response of an attempt has begun and is being forwarded to the client."""
 
     id: int
     attempt: int
@@ -144,15 +144,15 @@
     server: str
     status: Status
     elapsed_ms: float
-    is_answered: bool  # the client has its final answer, or is gone
+    is_answered: bool  # the client has received its final answer or has disconnected
     detail: OutcomeDetail = OutcomeDetail.NONE
-    source_wait_ms: float | None = None  # until the source's first byte, or its failure
+    source_wait_ms: float | None = None  # time until the source's first byte or its failure
     load_report: dict[str, float] | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
-    """What a health check of this or another dispatcher found, `age_ms` ago."""
+    """The result of a health check by this or another dispatcher, `age_ms` ago."""
 
     server: str
     status: Status
@@ -163,14 +163,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client of a request no longer waits for an answer."""
+    """The client of a request has disconnected and no longer needs a final answer."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Another dispatcher sent a message of its own."""
+    """A message from another dispatcher."""
 
     sender: int
     content: bytes
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Purge:
-    """An object, or with no key its whole group, was purged `age_ms` before this event."""
+    """An object or, without a key, its whole group was purged `age_ms` before this event."""
 
     key: int | None
     group: int
@@ -187,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """The delay of a `SetTimer` has passed."""
+    """The delay of a `SetTimer` action has passed."""
 
     token: str
 
--- a/gladewalk/registry/outcome_recorder.py
+++ b/gladewalk/registry/outcome_recorder.py
@@ -12,7 +12,7 @@
 from .records import Attempt, PendingRequest, ServerRecord
 from .state import RoutingState
 
-# An unreachable server without a response for this long, the usual gap between responses, counts as restarted.
+# An unreachable server without a response for this long, the usual gap between responses, has restarted.
 MIN_OUTAGE_MS = 400.0
 MIN_REMAINING_MS = 60.0  # a request with less time left is ended at once; longer than one sweep interval
 ORIGIN_DETAILS = (OutcomeDetail.ORIGIN_FAILED, OutcomeDetail.FILLED_BY_ORIGIN)
