--- a/gladewalk/simulator_adapter.py
+++ b/gladewalk/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Simulator adapter: hosts dispatchers on the simulator's wire. It translates and decides nothing.
+"""Simulator adapter: runs dispatchers behind the simulator's message protocol. It only translates messages.
 
-Reads batches of events, one JSON object a line, from standard input and writes the actions that answer each
-batch to standard output. A malformed line ends the process with one message on standard error and exit code
-2; an exception in the decision module is reported as a fault of its instance.
+Reads batches of events, one JSON object per line, from standard input and writes the actions that result from
+each batch to standard output. A malformed line ends the process with one message on standard error and exit
+code 2; an exception in the decision module is reported as a fault of its dispatcher instance.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 EXIT_MALFORMED_INPUT = 2
 CLIENT_RETRY_FLAG, WRITE_FLAG = 2, 4
 JOIN_FILL_FLAG, CACHED_ONLY_FLAG, PARENT_UNCACHED_FLAG, REVALIDATE_FLAG = 1, 2, 4, 8
-STATES = {
+SERVER_STATES = {
     "up": api.ServerState.READY,
     "draining": api.ServerState.DRAINING,
     "removed": api.ServerState.GONE,
 }
-LISTS = {
+ENDPOINT_LIST_KINDS = {
     "Partial": api.EndpointListKind.DELTA,
     "Complete": api.EndpointListKind.COMPLETE,
     "Persisted": api.EndpointListKind.PERSISTED,
@@ -57,33 +57,33 @@
 
 
 class HostedDispatcher:
-    """A dispatcher and what is needed to translate for it."""
+    """A dispatcher instance, with the server roles that are needed to translate its messages."""
 
     def __init__(self, message: Message) -> None:
-        """Raises `InvalidMessageError` for a launch message without usable settings."""
+        """Raises `InvalidMessageError` for a launch message without valid settings."""
         raw = require_field(message, "setup", (dict,))
         self.roles = read_roles(raw)
         self.dispatcher = Dispatcher(read_settings(raw), require_field(message, "salt", (int,)))
 
     def read_server(self, entry: Message) -> api.Server:
-        """Reads an entry of the endpoint list; raises `InvalidMessageError`."""
+        """Converts an entry of the endpoint list; raises `InvalidMessageError`."""
         return api.Server(
             name=require_field(entry, "host", (str,)),
             role=self.roles.get(entry.get("model"), api.Role.CACHE),
             zone=require_field(entry, "site", (str,)),
             capacity=value_or(entry.get("scale"), 1.0),
-            state=require_choice(STATES, entry, "lifecycle"),
+            state=require_choice(SERVER_STATES, entry, "lifecycle"),
             started_ms=value_or(entry.get("start_time_ms"), 0.0),
             cell=value_or(entry.get("block"), 0),
         )
 
 
-def _read_endpoint_list(host: HostedDispatcher, message: Message) -> api.Event:
-    kind = require_choice(LISTS, message, "kind")
+def _read_endpoint_list(instance: HostedDispatcher, message: Message) -> api.Event:
+    kind = require_choice(ENDPOINT_LIST_KINDS, message, "kind")
     entries = value_or(message.get("elements"), [])
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise InvalidMessageError("directory_update: field 'elements' is not a list of objects")
-    return api.EndpointList(kind, tuple(host.read_server(entry) for entry in entries))
+    return api.EndpointList(kind, tuple(instance.read_server(entry) for entry in entries))
 
 
 def _read_request(_: HostedDispatcher, message: Message) -> api.Event:
@@ -203,14 +203,14 @@
 
 
 class SimulatorAdapter:
-    """All hosted dispatchers of this process; they share nothing."""
+    """All dispatcher instances of this process; they share no state."""
 
     def __init__(self) -> None:
-        self.hosts: dict[int, HostedDispatcher] = {}
+        self.instances: dict[int, HostedDispatcher] = {}
         self.now_ms = 0.0
 
     def handle(self, message: Message) -> list[Message]:
-        """Takes one event; returns the actions that answer it, as messages.
+        """Handles one event; returns the resulting actions as messages.
 
         Raises:
             InvalidMessageError: The message is unknown or malformed.
@@ -220,7 +220,7 @@
             actions = self._dispatch(name, number, message)
         except InvalidMessageError:
             raise
-        except Exception as error:  # noqa: BLE001 - the outermost edge: a fault of this instance alone
+        except Exception as error:  # noqa: BLE001 - a fault of one instance must not end the others
             line = f"{name}: {type(error).__name__}: {error}"
             return [{"op": "bug", "dispatcher_id": number, "line": line}]
         replies = [WRITERS[type(action)](action) for action in actions]
@@ -230,32 +230,32 @@
 
     def _dispatch(self, name: Any, number: int, message: Message) -> list[Any]:
         if name == "launch":
-            self.hosts[number] = HostedDispatcher(message)
+            self.instances[number] = HostedDispatcher(message)
             return []
         if name == "killed":
-            self.hosts.pop(number, None)
+            self.instances.pop(number, None)
             return []
         if name not in READERS:
             raise InvalidMessageError(f"unknown message '{name}'")
-        if number not in self.hosts:
+        if number not in self.instances:
             raise InvalidMessageError(f"{name}: instance {number} was never launched")
-        host = self.hosts[number]
-        return host.dispatcher.handle(self.now_ms, READERS[name](host, message))
+        instance = self.instances[number]
+        return instance.dispatcher.handle(self.now_ms, READERS[name](instance, message))
 
 
 class BatchReader:
-    """Answers batches of events, each from a `clock` to a `flush` message."""
+    """Processes batches of events, each from a `clock` to a `flush` message."""
 
     def __init__(self, out: TextIO) -> None:
-        """`out` takes the actions, one JSON object a line."""
+        """`out` receives the actions, one JSON object per line."""
         self._out = out
         self._adapter = SimulatorAdapter()
         self._replies: list[Message] = []
         self._encode = json.JSONEncoder(separators=(",", ":")).encode
         self.is_batch_open = False
 
-    def take(self, line: str) -> None:
-        """Takes one line; raises `InvalidMessageError`."""
+    def process_line(self, line: str) -> None:
+        """Processes one line; raises `InvalidMessageError`."""
         message = _parse(line)
         if message["op"] == "clock":
             self._adapter.now_ms = float(require_field(message, "sim_time_ms"))
@@ -285,13 +285,13 @@
 
 
 def run(lines: Iterable[str], out: TextIO) -> None:
-    """Answers batches until the input ends; raises `InvalidMessageError`, which names the line."""
+    """Processes batches until the input ends; raises `InvalidMessageError` with the line number."""
     reader = BatchReader(out)
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            reader.take(line)
+            reader.process_line(line)
         except InvalidMessageError as error:
             raise InvalidMessageError(f"line {number}: {error}") from error
     if reader.is_batch_open:
