--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""What is done when servers are crowded, slow or resting, or come back."""
+"""Behaviour towards servers that are overloaded, slow, ejected, or back after an outage."""
 
 from dataclasses import replace
 
@@ -12,9 +12,9 @@
 
 
 def test_a_request_for_an_overloaded_home_is_rejected_and_not_moved() -> None:
-    """The next cache of the hash mostly lacks the object: moving there turned overload into misses."""
+    """The next cache of the order mostly lacks the object: moving requests turned overload into misses."""
     env = DispatcherEnvironment(CACHES, hedging=False)
-    env.state.estimates.mean_ms_by_class["page"] = 400.0  # three times it still meets the objective
+    env.state.estimates.mean_ms_by_class["page"] = 400.0  # even three times as long meets the objective
     seen = [env.send_request(1)[0] for _ in range(80)]
     sent = [a.server for a in seen if isinstance(a, api.Lookup)]
     assert len(set(sent)) == 1 and 4 < len(sent) <= 8 * 3
@@ -32,7 +32,7 @@
 
 
 def test_fills_wait_while_the_inbound_link_is_overloaded() -> None:
-    links = (0.0, 0.0, 20_000.0, 0.0)  # four transfers at a client's pace of 5,000 KB a second
+    links = (0.0, 0.0, 20_000.0, 0.0)  # four transfers at a client rate of 5,000 KB/s
     env = DispatcherEnvironment(inbound_link_kb_per_s=links, client_rate_kb_per_s=5_000.0, hedging=False)
     for s in env.servers.values():
         s.fill_quota = 50.0
@@ -69,11 +69,11 @@
     (purged,) = env.send_request(2)
     env.end_attempt(purged, MISS)
     (bound,) = env.sweep(500.0)
-    assert bound.max_age_ms < 2_000.0  # never older than the purge
+    assert bound.max_age_ms < 2_000.0  # the copy must not be from before the purge
 
 
 def test_one_slow_transfer_at_a_low_request_rate_ejects_no_server() -> None:
-    """A dispatcher that sees few requests hears from a cache now and then: that is no sign of its death."""
+    """With few requests there are long times without a response: that must not count as a failure."""
     env = DispatcherEnvironment()
     (slow,) = env.send_request(1)
     for _ in range(40):  # 2 s
@@ -86,9 +86,9 @@
     fills = [env.start_fill(key) for key in range(4)]
     first, second = (env.send_request(key)[0] for key in (50, 51))
     assert env.end_attempt(first, MISS) == [] and env.end_attempt(second, MISS) == []
-    env.state.pending[first.id].failed_sources += ["p1", "p1b", "o"]  # all that frees
-    (freed,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
-    assert freed.id == second.id
+    env.state.pending[first.id].failed_sources += ["p1", "p1b", "o"]  # every source that can get free
+    (fetch,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
+    assert fetch.id == second.id
 
 
 def send_overload(env: DispatcherEnvironment) -> list[object]:
@@ -97,7 +97,7 @@
 
 
 def test_a_fresh_report_of_spare_capacity_overrides_the_local_count() -> None:
-    """Fills that wait for a slow origin use no link, but stand in our own count of attempts."""
+    """Fills that wait for a slow origin don't use the cache's link, but are included in the attempt count."""
     env = DispatcherEnvironment(CACHES[:1], may_cancel=False)
     lookups = [a for a in send_overload(env) if isinstance(a, api.Lookup)]
     env.end_attempt(lookups[0], OK, detail=api.OutcomeDetail.HIT, load_report={"util": 0.3})
@@ -115,7 +115,7 @@
 
 
 def test_a_cache_far_slower_than_its_neighbours_gets_a_lower_weight() -> None:
-    """Ageing: a cache that grows slower loses weight before it costs answers, and gets it back."""
+    """A cache that becomes slower gets a lower weight before requests fail; a restart resets the weight."""
     env = DispatcherEnvironment()
     for key in range(300):
         (sent,) = env.send_request(key)
@@ -129,7 +129,7 @@
 
 
 def test_connection_resets_do_not_eject_most_of_a_location() -> None:
-    """Answers reset on the way while the caches work: a rest of most of them would cost more."""
+    """If connections are reset but the caches work, ejecting most of them would cost more than the resets."""
     env = DispatcherEnvironment()
     for s in env.own_caches:
         env.health.record_failure(s, is_unreachable=False)
@@ -139,19 +139,19 @@
             env.health.record_failure(s, is_unreachable=False)
     assert sum(env.health.is_usable(s) for s in env.own_caches) == 2
     for s in env.own_caches:
-        env.health.record_failure(s, is_unreachable=True)  # out of reach is proof
+        env.health.record_failure(s, is_unreachable=True)  # an unreachable server is ejected in any case
     assert not any(env.health.is_usable(s) for s in env.own_caches)
 
 
 def test_a_request_sent_directly_to_a_parent_names_the_origin_so_that_the_parent_can_fill_a_miss() -> None:
-    """A parent that is named as its own source gives only what it holds."""
+    """A parent that is named as its own source responds only from its cache."""
     env = DispatcherEnvironment((*PARENTS, ORIGIN), may_bypass_caches=True)
     (fetch,) = env.send_request(1)
     assert fetch.server in ("p1", "p1b") and fetch.source == "o"
 
 
 def test_a_hot_object_of_an_overloaded_home_goes_to_the_second_cache_of_its_rendezvous_order() -> None:
-    """One copy a location is the ordinary path; an object that alone crowds its home may have a second."""
+    """A location normally has one copy; an object that overloads its home by itself may have a second one."""
     env = DispatcherEnvironment(CACHES, may_cancel=False)
     env.state.estimates.mean_ms_by_class["page"] = 400.0
     home = env.find_home(1)
@@ -169,7 +169,7 @@
 
 
 def test_while_the_origin_is_in_backoff_parents_serve_only_cached_objects() -> None:
-    """An origin that stopped is kept down by all who ask on; its failures behind parents rest it too."""
+    """Further requests keep a stopped origin down; failures that parents report start its backoff too."""
     env = DispatcherEnvironment()
     for key in range(2):
         fetch = env.start_fill(key)
@@ -185,13 +185,13 @@
 
 
 def test_a_parent_that_returns_from_an_outage_counts_as_cold_before_the_list_reports_it() -> None:
-    """Parents died and came back unseen by the list; all dispatchers together pushed them over (i8f0867)."""
+    """Parents that restarted without a change of the endpoint list were overloaded by all dispatchers."""
     env = DispatcherEnvironment((*CACHES, PARENTS[0], ORIGIN))
     parent = env.servers["p1"]
     env.end_attempt(env.start_fill(1), OK, 1, detail=api.OutcomeDetail.FILLED)
     env.clock_ms += 1_500.0
     env.end_attempt(env.start_fill(2), api.Status.REJECTED, 1, detail=api.OutcomeDetail.SOURCE_FAILED)
-    assert not env.health.is_usable(parent)  # not reached: at rest at once
+    assert not env.health.is_usable(parent)  # unreachable: ejected at once
     assert env.state.is_warming_up(parent) and not env.dispatcher.router._capacity.has_slow_start_budget(
         parent
     )
@@ -200,7 +200,7 @@
 
 
 def test_stale_copies_are_accepted_at_once_while_the_origin_is_in_backoff() -> None:
-    """No fill comes in time then, and asking for one keeps a stopped origin down."""
+    """During the backoff no fill completes in time, and further fills would keep a stopped origin down."""
     stale_class = replace(
         PAGE, freshness_lifetime_ms=8_000.0, stale_grace_ms=30_000.0, stale_priority_weight=0.5
     )
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The mechanism: placement, ladder, shares, memories, warm-up."""
+"""Placement of objects, fill sources, fill quotas, recorded locations, health checks and admission."""
 
 from collections import Counter
 from dataclasses import replace
@@ -64,9 +64,9 @@
     assert sorted(sources[:4]) == ["p1", "p1", "p1b", "p1b"]
     assert sources[4:] == ["p2", "p2"]
     (lookup,) = env.send_request(99)
-    assert env.end_attempt(lookup, MISS) == []  # the parents are usable, so the origin is not asked at once
+    assert env.end_attempt(lookup, MISS) == []  # the parents are usable: the origin is not used yet
     (sent_later,) = env.sweep(150.0)
-    assert (sent_later.id, sent_later.source) == (lookup.id, "o")  # but a part of the aim homes_later it is
+    assert (sent_later.id, sent_later.source) == (lookup.id, "o")  # after PARENT_WAIT_FRACTION it is
 
 
 def test_the_origin_fills_within_its_quota_when_no_parent_is_usable() -> None:
@@ -81,8 +81,8 @@
     fills = [env.start_fill(key) for key in range(6)]
     (lookup,) = env.send_request(99)
     assert env.end_attempt(lookup, MISS) == []
-    (freed,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
-    assert (freed.id, freed.source) == (lookup.id, fills[0].source)
+    (fetch,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
+    assert (fetch.id, fetch.source) == (lookup.id, fills[0].source)
 
 
 def test_a_quota_grows_by_one_per_fill_in_time_and_halves_on_failure() -> None:
@@ -91,13 +91,13 @@
     env.end_attempt(env.start_fill(1), OK, 1, detail=api.OutcomeDetail.FILLED)
     assert parent.fill_quota == 3.0
     env.end_attempt(env.start_fill(2), OK, 1, detail=api.OutcomeDetail.FILLED)
-    assert parent.fill_quota == 3.0  # less than half of it was in use: an untried quota does not grow
+    assert parent.fill_quota == 3.0  # less than half of the quota was in use, so it does not grow
     parent.fill_quota = 6.0
     env.end_attempt(env.start_fill(50), REJECTED, 1, detail=api.OutcomeDetail.SOURCE_REJECTED)
     assert parent.fill_quota == 3.0
     slow = env.start_fill(51)
     env.end_attempt(slow, OK, 1, detail=api.OutcomeDetail.FILLED, after_ms=2000.0)
-    assert parent.fill_quota == 3.0  # a slow fill is no failure, nor does it earn
+    assert parent.fill_quota == 3.0  # a slow fill is no failure, but doesn't increase the quota
 
 
 def test_a_restart_resets_the_quota() -> None:
@@ -178,9 +178,9 @@
 
 def test_near_the_connection_limit_the_longest_requests_for_their_weight_are_shed() -> None:
     env = DispatcherEnvironment(client_connection_limit=20, client_rate_kb_per_s=1000.0)
-    assert env.send_request(99, size_kb=9_000.0)  # long, but there is room
+    assert env.send_request(99, size_kb=9_000.0)  # long, but there are free connections
     lookups = [env.send_request(key, size_kb=100.0)[0] for key in range(18)]
-    for _ in range(20):  # 19 of 20 open, over the part that is filled by choice
+    for _ in range(20):  # 19 of 20 connections are in use: more than TARGET_UTILIZATION
         env.dispatcher.handle(env.clock_ms, api.Timer("sweep"))
     assert [type(action) for action in env.send_request(50, size_kb=2000.0)] == [api.Reject]
     assert [type(action) for action in env.send_request(51, size_kb=10.0)] == [api.Lookup]
@@ -209,7 +209,7 @@
     env = DispatcherEnvironment()
     home = env.find_home(5)
     health_check = api.HealthCheckResult(home, api.Status.CONNECT_FAILED, 1.0, None, age_ms=500.0)
-    env.handle_event(health_check, after_ms=100.0)  # it answered 100 ms ago, after the health_check
+    env.handle_event(health_check, after_ms=100.0)  # it responded 100 ms ago, after the check
     assert env.find_home(5) == home
     env.handle_event(replace(health_check, age_ms=10.0), after_ms=600.0)
     (sent,) = env.send_request(5)
@@ -222,11 +222,11 @@
     server = env.servers[home]
     env.handle_event(api.HealthCheckResult(home, api.Status.TIMEOUT, 250.0), after_ms=100.0)
     env.handle_event(api.HealthCheckResult(home, api.Status.TIMEOUT, 250.0), after_ms=200.0)
-    assert env.clock_ms < server.backoff_until_ms  # two in a row
+    assert env.clock_ms < server.backoff_until_ms  # ejected after two failures in a row
     env.handle_event(api.HealthCheckResult(home, api.Status.OK, 1.0, {"util": 0.1}), after_ms=10.0)
     assert env.clock_ms < server.backoff_until_ms and server.spare_capacity_until_ms > env.clock_ms
     env.handle_event(
         api.HealthCheckResult(home, api.Status.OK, 1.0, {"util": 0.1}, age_ms=60_000.0), after_ms=9_000.0
     )
-    assert server.spare_capacity_until_ms < env.clock_ms  # too old to tell of now
+    assert server.spare_capacity_until_ms < env.clock_ms  # the report is too old to be used
     env.handle_event(api.HealthCheckResult("nobody", api.Status.TIMEOUT, 1.0))
--- a/tests/test_origin_gate.py
+++ b/tests/test_origin_gate.py
@@ -1,4 +1,7 @@
-"""While the origin fails: one fill a rest may reach it, parents give what they hold, writes pass."""
+"""The origin breaker: while the origin fails, one fill per backoff may reach it.
+
+Other fills get only objects that parents have cached; writes are not limited.
+"""
 
 from typing import Any
 
@@ -20,7 +23,7 @@
 
 
 def env_with_failing_origin(**settings: Any) -> DispatcherEnvironment:
-    """A dispatcher for which the origin has failed twice, behind parents that work."""
+    """A test environment in which the origin has failed twice, behind parents that work."""
     env = DispatcherEnvironment(ALL_SERVERS, **settings)
     for key in range(2):
         env.end_attempt(env.start_fill(key), Status.REJECTED, 1, detail=OutcomeDetail.ORIGIN_FAILED)
@@ -29,8 +32,8 @@
 
 def send_write(env: DispatcherEnvironment, key: int, after_ms: float = 0.0) -> list[Any]:
     env.next_id += 1
-    ask = api.Request(env.next_id, "bid", key, 3000.0, is_write=True, idempotency_key=f"k{env.next_id}")
-    return env.handle_event(ask, after_ms)
+    request = api.Request(env.next_id, "bid", key, 3000.0, is_write=True, idempotency_key=f"k{env.next_id}")
+    return env.handle_event(request, after_ms)
 
 
 def test_after_a_backoff_one_trial_fill_is_sent_and_the_others_wait_for_its_outcome() -> None:
@@ -39,13 +42,13 @@
     env.clock_ms += BACKOFF_MS + 1.0
     trial = env.start_fill(51)
     assert not trial.cached_only
-    for key in range(52, 56):  # before, all of them reached it
+    for key in range(52, 56):  # without the breaker all of them would reach the origin
         other = env.start_fill(key)
         assert other.cached_only
         env.end_attempt(other, Status.OK, 1, detail=OutcomeDetail.FILLED, after_ms=1.0)
     env.end_attempt(trial, Status.REJECTED, 1, detail=OutcomeDetail.ORIGIN_FAILED, after_ms=BACKOFF_MS + 1.0)
     env.clock_ms += BACKOFF_MS + 1.0
-    assert env.start_fill(60).cached_only  # rests grow
+    assert env.start_fill(60).cached_only  # the backoff has grown
     env.clock_ms += BACKOFF_MS
     trial = env.start_fill(61)
     assert not trial.cached_only
@@ -59,15 +62,15 @@
 
 def test_late_responses_of_the_origin_count_as_failures() -> None:
     env = DispatcherEnvironment(ALL_SERVERS)
-    for key, fails in ((50, 1), (51, 2)):
+    for key, failures in ((50, 1), (51, 2)):
         env.end_attempt(
             env.start_fill(key), Status.OK, 1, detail=OutcomeDetail.FILLED_BY_ORIGIN, after_ms=2_500.0
         )
-        assert env.health.origin_breaker.failures == fails
+        assert env.health.origin_breaker.failures == failures
     assert env.start_fill(52).cached_only
     env.clock_ms += BACKOFF_MS + 1.0
     env.end_attempt(env.start_fill(53), Status.OK, 1, detail=OutcomeDetail.FILLED_BY_ORIGIN, after_ms=50.0)
-    assert env.health.origin_breaker.failures == 1  # soon: the queue is gone
+    assert env.health.origin_breaker.failures == 1  # a response in time reduces the count
 
 
 def test_writes_are_sent_while_fills_are_limited() -> None:
@@ -88,7 +91,7 @@
 def test_a_write_that_the_origin_rejected_is_retried_within_the_retry_budget() -> None:
     env = DispatcherEnvironment((*CACHES, ORIGIN), classes=(PAGE, WRITE))
     (first,) = send_write(env, 7)
-    (again,) = env.end_attempt(first, Status.REJECTED, detail=OutcomeDetail.SOURCE_REJECTED)  # it ran nowhere
+    (again,) = env.end_attempt(first, Status.REJECTED, detail=OutcomeDetail.SOURCE_REJECTED)  # it has not run
     assert isinstance(again, api.Fetch) and (again.id, again.source) == (first.id, "o")
     assert env.end_attempt(again, Status.OK, 1, detail=OutcomeDetail.FILLED_BY_ORIGIN) == []
     env.dispatcher.router._retries.budget.tokens = 0.0
@@ -99,19 +102,19 @@
 def test_a_write_that_a_cache_rejected_is_retried_at_another_cache() -> None:
     env = DispatcherEnvironment((*CACHES, ORIGIN), classes=(PAGE, WRITE))
     (first,) = send_write(env, 7)
-    (second,) = env.end_attempt(first, Status.REJECTED)  # the cache itself, which is not asked again
+    (second,) = env.end_attempt(first, Status.REJECTED)  # rejected by the cache itself
     assert second.server != first.server
 
 
 def test_the_longest_backoff_grows_with_the_number_of_dispatchers() -> None:
-    for senders, most in ((3, MAX_BACKOFF_MS), (200, TRIAL_INTERVAL_MS * 200)):
+    for senders, max_backoff_ms in ((3, MAX_BACKOFF_MS), (200, TRIAL_INTERVAL_MS * 200)):
         breaker, now_ms = OriginBreaker(senders), 0.0
         for _ in range(30):
             breaker.record_outcome(now_ms, Status.REJECTED, 0.0, 1.0)
             now_ms = max(now_ms, breaker.open_until_ms)
         before = now_ms
         breaker.record_sent(now_ms)
-        assert breaker.open_until_ms - before == most
+        assert breaker.open_until_ms - before == max_backoff_ms
         for _ in range(6):
             breaker.record_outcome(now_ms, Status.OK, 0.0, 1.0)
         assert breaker.allows(now_ms)
@@ -122,7 +125,5 @@
     for _ in range(20):
         breaker.record_outcome(100.0, Status.ERROR, 0.0, 1.0)
     assert breaker.failures == 2
-    breaker.record_outcome(
-        100.0, Status.CANCELLED, 0.0, 1.0
-    )  # called off by us: it tells nothing of the origin
+    breaker.record_outcome(100.0, Status.CANCELLED, 0.0, 1.0)  # a cancel by the director is no failure
     assert breaker.failures == 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, and what is done when things fail."""
+"""Rules for final answers, drains, repeats, slow start, purges and writes, and the handling of failures."""
 
 import random
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 def test_a_timeout_at_the_deadline_fails_the_request_at_once() -> None:
     env = DispatcherEnvironment()
-    (lookup,) = env.send_request(1, left_ms=500.0)
+    (lookup,) = env.send_request(1, time_left_ms=500.0)
     assert final_answers(env.end_attempt(lookup, TIMEOUT, after_ms=500.0)) == [api.Fail(lookup.id)]
 
 
@@ -35,7 +35,7 @@
 
 def test_a_queued_request_without_a_source_is_ended_in_time() -> None:
     env = DispatcherEnvironment(CACHES)  # no source at all
-    (lookup,) = env.send_request(1, left_ms=300.0)
+    (lookup,) = env.send_request(1, time_left_ms=300.0)
     seen = env.end_attempt(lookup, MISS)
     for _ in range(8):
         seen += env.sweep()
@@ -44,7 +44,7 @@
 
 def test_a_request_with_a_short_deadline_is_not_queued_past_it() -> None:
     env = DispatcherEnvironment(CACHES)
-    (lookup,) = env.send_request(1, left_ms=40.0)
+    (lookup,) = env.send_request(1, time_left_ms=40.0)
     assert len(final_answers(env.end_attempt(lookup, MISS))) == 1
 
 
@@ -78,7 +78,7 @@
     (lookup,) = env.send_request(1)
     assert env.end_attempt(lookup, RESET) == [api.Fail(lookup.id)]
     (lookup,) = env.send_request(2)
-    assert isinstance(env.end_attempt(lookup, MISS)[0], api.Fetch)  # a miss proves that it never ran
+    assert isinstance(env.end_attempt(lookup, MISS)[0], api.Fetch)  # a miss proves that it has not run
 
 
 def test_a_keyed_request_is_retried_only_in_its_cell_and_deduplication_window() -> None:
@@ -106,39 +106,43 @@
     for key in range(200):
         actions = env.send_request(key, after_ms=5.0)
         sent += sum(isinstance(a, api.Fetch | api.Lookup) for a in actions)
-    # 3 caches of 8 transfers at a share of 0.2 to 0.36, three times that over 1 s; work is 400 ms a request
+    # 3 caches of 8 transfers at a capacity fraction of 0.2 to 0.36, with an overload multiple of 3, for 1 s;
+    # each request takes 400 ms.
     assert 0 < sent * 400.0 <= 3 * 8.0 * 0.36 * 3.0 * 1000.0
 
 
 @pytest.mark.parametrize("senders", [1, 7, 60])
 def test_many_senders_together_use_a_slow_start_budget_and_stay_within_it(senders: int) -> None:
-    """Parts of under one request each: neither nobody sends nor everybody at once, restarts included."""
+    """One sender's share may be less than one request, but all together use the budget and don't exceed it.
+
+    This holds also when some of the senders restart.
+    """
     cold = replace(PARENTS[0], started_ms=100_000.0, capacity=40.0)
     counts = (0, 0, senders, 0)
 
-    def env(seed: int) -> DispatcherEnvironment:
-        made = DispatcherEnvironment(
+    def create_environment(seed: int) -> DispatcherEnvironment:
+        env = DispatcherEnvironment(
             (*CACHES, cold, ORIGIN), seed, dispatchers_by_zone=counts, overload_window_ms=3000.0
         )
-        made.dispatcher.state.random = random.Random(seed)
-        return made
+        env.dispatcher.state.random = random.Random(seed)
+        return env
 
-    environments = [env(seed) for seed in range(senders)]
+    environments = [create_environment(seed) for seed in range(senders)]
     sent: list[float] = []
-    for step in range(120):  # 6 s, all wanting more than the budget
-        if step == 40:  # a part of them restarts
-            environments[: senders // 3] = [env(100 + seed) for seed in range(senders // 3)]
-        for number, one in enumerate(environments):
-            one.clock_ms = 100_000.0 + 50.0 * step
-            one.dispatcher.state.now_ms = one.clock_ms
-            parent = one.dispatcher.state.registry.servers["p1"]
+    for step in range(120):  # 6 s, in which the senders together want more than the budget
+        if step == 40:  # a third of the senders restarts
+            environments[: senders // 3] = [create_environment(100 + seed) for seed in range(senders // 3)]
+        for number, env in enumerate(environments):
+            env.clock_ms = 100_000.0 + 50.0 * step
+            env.dispatcher.state.now_ms = env.clock_ms
+            parent = env.dispatcher.state.registry.servers["p1"]
             for _ in range(max(1, 8 // senders)):
-                if (step + number) % 2 == 0 and one.dispatcher.router._capacity.has_slow_start_budget(parent):
+                if (step + number) % 2 == 0 and env.dispatcher.router._capacity.has_slow_start_budget(parent):
                     parent.slow_start_budget.withdraw(400.0)
-                    sent.append(one.clock_ms - 100_000.0)
+                    sent.append(env.clock_ms - 100_000.0)
     for start in range(0, 3001, 100):
         window = [at for at in sent if start <= at < start + 3000.0]
-        capacity = 40.0 * (0.1 + 0.9 * (start + 1_500.0) / 20_000.0)  # its mean over the window
+        capacity = 40.0 * (0.1 + 0.9 * (start + 1_500.0) / 20_000.0)  # mean over the window
         assert len(window) * 400.0 <= 2.0 * capacity * 3000.0 * 1.1
     assert len(sent) * 400.0 > 0.3 * 2.0 * 4.0 * 6000.0
 
@@ -203,15 +207,15 @@
     seen: list[object] = []
     for _ in range(60):
         seen += env.sweep()
-    copies = [a for a in seen if isinstance(a, api.Lookup | api.Fetch)]
-    assert len(copies) >= 3 and all(a.server != home for a in copies[:3])
+    hedges = [a for a in seen if isinstance(a, api.Lookup | api.Fetch)]
+    assert len(hedges) >= 3 and all(a.server != home for a in hedges[:3])
 
 
 def test_after_a_connection_reset_a_request_is_retried_once_at_its_home_and_then_elsewhere() -> None:
     env = DispatcherEnvironment()
     (first,) = env.send_request(1)
     (again,) = env.end_attempt(first, api.Status.RESET)
-    assert again.server == first.server  # it holds the object still
+    assert again.server == first.server  # it still has the object
     (other,) = env.end_attempt(again, api.Status.RESET, 1)
     assert other.server != first.server
 
@@ -239,7 +243,7 @@
     env.end_attempt(trial, api.Status.CANCELLED, is_answered=True)
     (again,) = env.send_request(3)
     assert again.server == trial.server == "c0"
-    assert env.send_request(4) == []  # still one at a time
+    assert env.send_request(4) == []  # only one trial at a time
 
 
 def test_a_failed_server_gets_one_trial_request_after_its_backoff() -> None:
@@ -251,7 +255,7 @@
     env.clock_ms += 5_000.0
     (trial,) = env.send_request(2)
     assert trial.server == "c0"
-    assert env.send_request(3) == []  # waits for the trial
+    assert env.send_request(3) == []  # waits for the trial's outcome
     assert [
         a.server
         for a in env.end_attempt(trial, OK, detail=api.OutcomeDetail.HIT)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small hand-driven world for tests: settings, a list of servers and shorthand for events."""
+"""A test environment for one dispatcher: settings, a list of servers and shorthand for events."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
 
 
 class DispatcherEnvironment:
-    """One dispatcher, its clock and its open ids."""
+    """One dispatcher, its clock and its request ids. Methods return the actions of the dispatcher."""
 
     def __init__(self, servers: tuple[api.Server, ...] = ALL_SERVERS, seed: int = 1, **changes: Any) -> None:
         self.clock_ms = 100_000.0
         self.dispatcher = Dispatcher(replace(SETTINGS, **changes), seed)
         self.state, self.health = self.dispatcher.state, self.dispatcher.health
         self.next_id = 0
-        self.state.random.random = lambda: 0.99  # type: ignore[method-assign]  # no sibling trial
+        self.state.random.random = lambda: 0.99  # type: ignore[method-assign]  # no sibling trials
         self.update_endpoints(*servers, kind=api.EndpointListKind.PERSISTED)
 
     @property
@@ -68,8 +68,8 @@
     def own_caches(self) -> list[ServerRecord]:
         return self.state.registry.own_caches
 
-    def set_sibling_trials(self, on: bool) -> None:
-        self.state.random.random = lambda: 0.0 if on else 0.99  # type: ignore[method-assign]
+    def set_sibling_trials(self, enabled: bool) -> None:
+        self.state.random.random = lambda: 0.0 if enabled else 0.99  # type: ignore[method-assign]
 
     def handle_event(self, event: api.Event, after_ms: float = 0.0) -> list[Any]:
         self.clock_ms += after_ms
@@ -82,27 +82,27 @@
         return self.handle_event(api.EndpointList(kind, servers))
 
     def send_request(
-        self, key: int = 1, after_ms: float = 0.0, left_ms: float = 3000.0, **more: Any
+        self, key: int = 1, after_ms: float = 0.0, time_left_ms: float = 3000.0, **fields: Any
     ) -> list[Any]:
         self.next_id += 1
-        return self.handle_event(api.Request(self.next_id, "page", key, left_ms, **more), after_ms)
+        return self.handle_event(api.Request(self.next_id, "page", key, time_left_ms, **fields), after_ms)
 
     def find_home(self, key: int) -> str:
-        """Where a request for an object goes, when it is answered before the next."""
+        """Sends a request for an object and ends it with a hit; returns the server it was sent to."""
         (sent,) = self.send_request(key)
         self.end_attempt(sent, api.Status.OK, detail=api.OutcomeDetail.HIT)
         return str(sent.server)
 
-    def end_attempt(self, sent: Any, status: api.Status, attempt: int = 0, **more: Any) -> list[Any]:
-        after = more.pop("after_ms", 20.0)
-        closed = more.pop("is_answered", status is api.Status.OK)
+    def end_attempt(self, sent: Any, status: api.Status, attempt: int = 0, **fields: Any) -> list[Any]:
+        elapsed_ms = fields.pop("after_ms", 20.0)
+        is_answered = fields.pop("is_answered", status is api.Status.OK)
         return self.handle_event(
-            api.Outcome(sent.id, attempt, sent.server, status, after, closed, **more), after
+            api.Outcome(sent.id, attempt, sent.server, status, elapsed_ms, is_answered, **fields), elapsed_ms
         )
 
-    def start_fill(self, key: int, **more: Any) -> Any:
-        """A request that its home lacks: the attempt that fills it."""
-        (lookup,) = self.send_request(key, **more)
+    def start_fill(self, key: int, **fields: Any) -> Any:
+        """Sends a request that misses at its home; returns the fetch that fills the object."""
+        (lookup,) = self.send_request(key, **fields)
         (fetch,) = self.end_attempt(lookup, api.Status.MISS)
         return fetch
 
