--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -87,8 +87,8 @@
     first, second = (env.send_request(key)[0] for key in (50, 51))
     assert env.end_attempt(first, MISS) == [] and env.end_attempt(second, MISS) == []
     env.state.pending[first.id].failed_sources += ["p1", "p1b", "o"]  # every source that can get free
-    (fetch,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
-    assert fetch.id == second.id
+    (next_fill,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
+    assert next_fill.id == second.id
 
 
 def send_overload(env: DispatcherEnvironment) -> list[object]:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -13,7 +13,7 @@
 
 from .world import ALL_SERVERS, CACHES, ORIGIN, PARENTS, SETTINGS, SIBLINGS, DispatcherEnvironment
 
-OK, MISS, REJECTED = api.Status.OK, api.Status.MISS, api.Status.REJECTED
+OK, MISS, REJECTION = api.Status.OK, api.Status.MISS, api.Status.REJECTED
 
 
 def test_dispatchers_agree_on_one_home_for_each_object() -> None:
@@ -81,8 +81,8 @@
     fills = [env.start_fill(key) for key in range(6)]
     (lookup,) = env.send_request(99)
     assert env.end_attempt(lookup, MISS) == []
-    (fetch,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
-    assert (fetch.id, fetch.source) == (lookup.id, fills[0].source)
+    (next_fill,) = env.end_attempt(fills[0], OK, 1, detail=api.OutcomeDetail.FILLED)
+    assert (next_fill.id, next_fill.source) == (lookup.id, fills[0].source)
 
 
 def test_a_quota_grows_by_one_per_fill_in_time_and_halves_on_failure() -> None:
@@ -93,7 +93,7 @@
     env.end_attempt(env.start_fill(2), OK, 1, detail=api.OutcomeDetail.FILLED)
     assert parent.fill_quota == 3.0  # less than half of the quota was in use, so it does not grow
     parent.fill_quota = 6.0
-    env.end_attempt(env.start_fill(50), REJECTED, 1, detail=api.OutcomeDetail.SOURCE_REJECTED)
+    env.end_attempt(env.start_fill(50), REJECTION, 1, detail=api.OutcomeDetail.SOURCE_REJECTED)
     assert parent.fill_quota == 3.0
     slow = env.start_fill(51)
     env.end_attempt(slow, OK, 1, detail=api.OutcomeDetail.FILLED, after_ms=2000.0)
--- a/tests/test_origin_gate.py
+++ b/tests/test_origin_gate.py
@@ -62,11 +62,11 @@
 
 def test_late_responses_of_the_origin_count_as_failures() -> None:
     env = DispatcherEnvironment(ALL_SERVERS)
-    for key, failures in ((50, 1), (51, 2)):
+    for key, expected_failures in ((50, 1), (51, 2)):
         env.end_attempt(
             env.start_fill(key), Status.OK, 1, detail=OutcomeDetail.FILLED_BY_ORIGIN, after_ms=2_500.0
         )
-        assert env.health.origin_breaker.failures == failures
+        assert env.health.origin_breaker.failures == expected_failures
     assert env.start_fill(52).cached_only
     env.clock_ms += BACKOFF_MS + 1.0
     env.end_attempt(env.start_fill(53), Status.OK, 1, detail=OutcomeDetail.FILLED_BY_ORIGIN, after_ms=50.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
     deduplication_scope=api.DeduplicationScope.CELL,
     deduplication_window_ms=1000.0,
 )
-NON_IDEMPOTENT = replace(PAGE, idempotency=api.Idempotency.NON_IDEMPOTENT)
+NON_IDEMPOTENT_CLASS = replace(PAGE, idempotency=api.Idempotency.NON_IDEMPOTENT)
 
 
 def test_a_timeout_at_the_deadline_fails_the_request_at_once() -> None:
@@ -74,7 +74,7 @@
 
 
 def test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() -> None:
-    env = DispatcherEnvironment(classes=(NON_IDEMPOTENT,))
+    env = DispatcherEnvironment(classes=(NON_IDEMPOTENT_CLASS,))
     (lookup,) = env.send_request(1)
     assert env.end_attempt(lookup, RESET) == [api.Fail(lookup.id)]
     (lookup,) = env.send_request(2)
@@ -121,25 +121,27 @@
     counts = (0, 0, senders, 0)
 
     def create_environment(seed: int) -> DispatcherEnvironment:
-        env = DispatcherEnvironment(
+        created = DispatcherEnvironment(
             (*CACHES, cold, ORIGIN), seed, dispatchers_by_zone=counts, overload_window_ms=3000.0
         )
-        env.dispatcher.state.random = random.Random(seed)
-        return env
+        created.dispatcher.state.random = random.Random(seed)
+        return created
 
     environments = [create_environment(seed) for seed in range(senders)]
     sent: list[float] = []
     for step in range(120):  # 6 s, in which the senders together want more than the budget
         if step == 40:  # a third of the senders restarts
             environments[: senders // 3] = [create_environment(100 + seed) for seed in range(senders // 3)]
-        for number, env in enumerate(environments):
-            env.clock_ms = 100_000.0 + 50.0 * step
-            env.dispatcher.state.now_ms = env.clock_ms
-            parent = env.dispatcher.state.registry.servers["p1"]
+        for number, sender in enumerate(environments):
+            sender.clock_ms = 100_000.0 + 50.0 * step
+            sender.dispatcher.state.now_ms = sender.clock_ms
+            parent = sender.dispatcher.state.registry.servers["p1"]
             for _ in range(max(1, 8 // senders)):
-                if (step + number) % 2 == 0 and env.dispatcher.router._capacity.has_slow_start_budget(parent):
+                if (step + number) % 2 == 0 and sender.dispatcher.router._capacity.has_slow_start_budget(
+                    parent
+                ):
                     parent.slow_start_budget.withdraw(400.0)
-                    sent.append(env.clock_ms - 100_000.0)
+                    sent.append(sender.clock_ms - 100_000.0)
     for start in range(0, 3001, 100):
         window = [at for at in sent if start <= at < start + 3000.0]
         capacity = 40.0 * (0.1 + 0.9 * (start + 1_500.0) / 20_000.0)  # mean over the window
@@ -224,8 +226,8 @@
     env = DispatcherEnvironment((*CACHES[:1], ORIGIN))
     server = env.servers["c0"]
     for after_ms, usable in ((0.0, True), (10 * MIN_OUTAGE_MS, False)):
-        (lookup,) = env.send_request(1)
-        env.end_attempt(lookup, OK, detail=api.OutcomeDetail.HIT)
+        (hit,) = env.send_request(1)
+        env.end_attempt(hit, OK, detail=api.OutcomeDetail.HIT)
         env.clock_ms += after_ms
         for key in (2, 3):
             (sent,) = env.send_request(key)
