--- a/gladewalk/interface/settings.py
+++ b/gladewalk/interface/settings.py
@@ -118,11 +118,11 @@
 def validate_settings(settings: Settings) -> None:
     """Raises `InvalidSettingsError`, which names the field, for settings that no dispatcher can use."""
     if not settings.classes:
-        raise InvalidSettingsError("classes: at least one is needed")
+        raise InvalidSettingsError("classes: at least one class is required")
     sections: tuple[RequestClass | Settings, ...] = (*settings.classes, settings)
     for section in sections:
         for name in section.__dataclass_fields__:
             if name.endswith("_ms") and getattr(section, name) < 0:
-                raise InvalidSettingsError(f"{name}: may not be negative")
+                raise InvalidSettingsError(f"{name}: must not be negative")
     if settings.max_attempts < 1:
-        raise InvalidSettingsError("max_attempts: at least one is needed")
+        raise InvalidSettingsError("max_attempts: must be at least 1")
--- a/gladewalk/registry/dns_leases.py
+++ b/gladewalk/registry/dns_leases.py
@@ -1,8 +1,8 @@
 """DNS answers that resolvers may still have cached, by the address that they name. No I/O.
 
-The leases on an address are bounded, as they are load that a restarted cache cannot escape: no answer can be
-revoked, and resolvers keep answers past their time to live, so that each counts for the full duration of a
-lease. The total weight is maintained incrementally and leases expire in groups of one second, so that an
+The leases on an address are bounded, as they are load that can't be taken from a restarted cache: no answer
+can be revoked, and resolvers keep answers past their time to live, so that each counts for the full duration
+of a lease. The total weight is maintained incrementally and leases expire in groups of one second, so that an
 answer costs the same at ten leases and at a million. A lease is identified by a 64-bit hash of resolver and
 object (`benchmarks/leases.py` measures the memory).
 
--- a/gladewalk/simulator_adapter.py
+++ b/gladewalk/simulator_adapter.py
@@ -280,7 +280,7 @@
     except ValueError as error:
         raise InvalidMessageError("not valid JSON") from error
     if not isinstance(message, dict) or not isinstance(message.get("op"), str):
-        raise InvalidMessageError("not an object with the text field 'op'")
+        raise InvalidMessageError("not a JSON object with a string field 'op'")
     return message
 
 
