--- a/gladewalk/interface/events.py
+++ b/gladewalk/interface/events.py
@@ -79,7 +79,7 @@
     name: str
     role: Role
     zone: str
-    capacity: float = 1.0  # concurrent transfers at full speed that its link can bear
+    capacity: float = 1.0  # concurrent transfers at full speed that its link can handle
     state: ServerState = ServerState.READY
     started_ms: float = 0.0  # last start of its process; 0: long ago
     cell: int = 0  # caches of one cell drop repeats of each other's keyed requests (`DeduplicationScope`)
--- a/gladewalk/limits/concurrency.py
+++ b/gladewalk/limits/concurrency.py
@@ -11,7 +11,7 @@
 import math
 
 INITIAL_CAPACITY = 4.0  # assumed concurrent transfers of a server about which nothing is known
-MIN_FRACTION = 0.5  # of an estimate that a server is assumed to bear; listed link capacities are inexact
+MIN_FRACTION = 0.5  # of an estimate that a server is assumed to handle; listed link capacities are inexact
 MAX_FACTOR = 3.0  # by which a learned capacity may exceed its estimate, or fall below it
 FILL_FRACTION = 0.75  # of the slowdown that still meets the objective, up to which a server is loaded
 SPREAD_DEVIATIONS = 0.8  # standard deviations by which one sender's share of the traffic may exceed the mean
--- a/gladewalk/limits/slow_start.py
+++ b/gladewalk/limits/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of restarted servers: their capacity model, and one sender's share of the load they can bear.
+"""Slow start of restarted servers: their capacity model, and one sender's share of the load they can handle.
 
 Times are milliseconds of the caller's clock. Capacity is counted in concurrent transfers at full speed, work
 in milliseconds of one transfer.
--- a/gladewalk/policy/dns_placement.py
+++ b/gladewalk/policy/dns_placement.py
@@ -77,7 +77,7 @@
     def _lease(
         self, server: ServerRecord, question: api.ResolveRequest, pending: PendingRequest, transfers: float
     ) -> bool:
-        """Count an answer as cached; False if the server could not bear so many when it restarts.
+        """Count an answer as cached; False if the server could not handle so many when it restarts.
 
         Resolvers keep answers past their time to live, and no answer can be revoked when a server restarts.
         """
--- a/gladewalk/registry/capacity_estimates.py
+++ b/gladewalk/registry/capacity_estimates.py
@@ -30,7 +30,7 @@
         self._settings, self._senders = settings, senders
 
     def capacity(self, server: ServerRecord) -> float:
-        """Concurrent transfers at full speed that a server's link can bear: learned, else as listed."""
+        """Concurrent transfers at full speed that a server's link can handle: learned, else as listed."""
         if self._settings.infers_capacity:
             return server.concurrency_limit.capacity
         return server.info.capacity
--- a/gladewalk/registry/state.py
+++ b/gladewalk/registry/state.py
@@ -79,7 +79,7 @@
         return slow_start.capacity_fraction(server.started_ms, self.now_ms)
 
     def sustainable_rate(self, server: ServerRecord) -> float:
-        """Work per millisecond, of all senders together, that a server which is warming up can bear."""
+        """Work per millisecond, of all senders together, that a server which is warming up can handle."""
         slow_start = self.slow_start[server.info.role]
         at_ms = server.slow_start_budget.updated_ms or self.now_ms
         fraction = slow_start.capacity_fraction(server.started_ms, at_ms)
