--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -109,7 +109,7 @@
     assert not may_send(1e6)
 
 
-def test_as_many_senders_share_a_slow_start_budget_as_the_server_can_bear() -> None:
+def test_as_many_senders_share_a_slow_start_budget_as_the_server_can_handle() -> None:
     """With eight requests per window for thirty senders about eight are active, and more during the ramp."""
     window, mean, rng = 1_000.0, 100.0, random.Random(1)
     positions = [subset_position(number, 0, rng) for number in range(30)]
