--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -138,9 +138,8 @@
     keys.record_sent("k", 20.0, "b")
     assert keys.first_execution("k", 30.0, 1_000.0) == PossibleExecution(10.0, "a")
     keys.record_not_run("k", 10.0, "a")
-    assert keys.first_execution("k", 30.0, 1_000.0) == PossibleExecution(
-        20.0, "b"
-    )  # the second one may have run
+    # The second attempt may still have run.
+    assert keys.first_execution("k", 30.0, 1_000.0) == PossibleExecution(20.0, "b")
     keys.record_not_run("k", 10.0, "a")
     keys.record_not_run("k", 20.0, "b")
     assert keys.first_execution("k", 30.0, 1_000.0) is None and not keys.executions
@@ -189,9 +188,8 @@
     assert limit.timeout_ms(Times(0.0, 5_100.0), 600.0, 100.0) == 0.0
     for _ in range(20):
         limit.record(True)
-    assert (
-        limit.timeout_ms(Times(0.0, 5_100.0), 600.0, 100.0) == 1_100.0
-    )  # twice its objective, less the time it has waited
+    # Twice the objective, less the time that the request has waited.
+    assert limit.timeout_ms(Times(0.0, 5_100.0), 600.0, 100.0) == 1_100.0
     assert limit.timeout_ms(Times(0.0, 6_150.0), 600.0, 1_150.0) == MIN_TIMEOUT_MS
     assert limit.timeout_ms(Times(0.0, 1_000.0), 600.0, 100.0) == 0.0  # its deadline is earlier than that
     for _ in range(20):
