--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -370,7 +370,7 @@
     def _request_timed_out(self, opened: OpenRequest) -> None:
         """Ends all attempts at the deadline, after which the module decides the final answer.
 
-        If the request still has no final answer then, it fails here, as every request must get one. A response
+        If the request still has no final answer then, it fails here: every request must get one. A response
         that is being received has the client's whole time, without `ANSWER_MARGIN_MS`.
         """
         self.request_log.note(opened, "deadline")
--- a/gladewalk/net/__init__.py
+++ b/gladewalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wire: clients, caches and the coordinator, on asyncio protocol classes."""
+"""Connections of clients, operators and the coordinator, on asyncio protocol classes."""
--- a/gladewalk/net/accept_errors.py
+++ b/gladewalk/net/accept_errors.py
@@ -1,4 +1,4 @@
-"""What an error of `accept` speaks of: one connection, or the whole process (Linux, accept(2)); no I/O."""
+"""Tells errors of `accept` that concern one connection from those of the process (accept(2)); no I/O."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         errno.ECONNRESET,
     }
 )
-"""Errors that were pending on the new connection: the next one may be accepted at once."""
+"""Errors that were pending on the new connection; the next connection may be accepted at once."""
 
 MAX_CONNECTION_ERRORS = 32
-"""So many in one turn of the loop; more are taken for an error of the process: the loop must not spin."""
+"""Per event-loop iteration. More are treated as an error of the process, so that the loop does not spin."""
 
 MIN_BACKOFF_MS = 5.0
 MAX_BACKOFF_MS = 80.0
@@ -33,23 +33,23 @@
 
 @dataclass(slots=True)
 class AcceptBackoff:
-    """Decides after an error of `accept` whether to go on at once, and else how long to wait."""
+    """Decides how long to wait after an error of `accept` before the next call."""
 
-    turn_errors: int = 0
+    iteration_errors: int = 0
     backoff_ms: float = MIN_BACKOFF_MS
 
-    def start_turn(self) -> None:
-        """A turn of the loop begins in which connections are accepted."""
-        self.turn_errors = 0
+    def start_iteration(self) -> None:
+        """Resets the count of errors at the start of an event-loop iteration that accepts connections."""
+        self.iteration_errors = 0
 
     def accepted(self) -> None:
-        """A connection was accepted: errors of the process, if there were any, are over."""
+        """Resets the backoff after a connection was accepted: errors of the process have passed."""
         self.backoff_ms = MIN_BACKOFF_MS
 
     def pause_ms(self, error: OSError) -> float:
-        """Returns how long to wait before the next call; 0: it may be made at once."""
-        self.turn_errors += 1
-        if error.errno in CONNECTION_ERRORS and self.turn_errors <= MAX_CONNECTION_ERRORS:
+        """Returns how long to wait before the next call of `accept`; 0 if it may be made at once."""
+        self.iteration_errors += 1
+        if error.errno in CONNECTION_ERRORS and self.iteration_errors <= MAX_CONNECTION_ERRORS:
             return 0.0
         pause_ms, self.backoff_ms = self.backoff_ms, min(MAX_BACKOFF_MS, 2.0 * self.backoff_ms)
         return pause_ms
--- a/gladewalk/net/admin.py
+++ b/gladewalk/net/admin.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 listener of the second address: one call a connection, bounded in time, size and number."""
+"""HTTP/1.1 listener of the admin address: one call per connection, limited in time, size and number."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from ..core.deadlines import DeadlineKey, Deadlines
 
 CALL_TIMEOUT_MS = 2_000.0
-"""A call that has not arrived completely after this long is closed without an answer."""
+"""A connection whose call has not been received completely after this time is closed without a response."""
 
 MAX_ADMIN_CONNECTIONS = 64
-"""Connections open at once; one more closes the oldest."""
+"""Number of simultaneous connections; a further connection closes the oldest one."""
 
 MAX_CALL_BYTES = 8 * 1024
 LISTEN_BACKLOG = 256
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """An answer to an operator's call, in plain text."""
+    """A response to an operator's call, in plain text."""
 
     status: int
     body: bytes = b""
@@ -45,10 +45,10 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """An operator's connection: reads one request, answers it and closes."""
+    """An operator's connection: reads one request, sends the response and closes."""
 
     def __init__(self, front: AdminFront) -> None:
-        self.due: DeadlineKey | None = None  # the timer that ends the call, owned by the front
+        self.due: DeadlineKey | None = None  # the timer that closes the connection, set by the front
         self._front = front
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -62,12 +62,12 @@
         self._front.register(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leaves the front."""
+        """Unregisters from the front."""
         self._transport = None
         self._front.unregister(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrived; 400 for what is no HTTP or longer than `MAX_CALL_BYTES`."""
+        """Parses received bytes; answers 400 if they are not HTTP or exceed `MAX_CALL_BYTES`."""
         if self._is_answered:
             return
         self._received_bytes += len(data)
@@ -80,11 +80,11 @@
             self._answer(Response(400))
 
     def eof_received(self) -> bool:
-        """Lets the transport close: a call cut short is not answered."""
+        """Lets the transport close, as an incomplete call gets no response."""
         return False
 
     def on_url(self, url: bytes) -> None:
-        """Collects the request target; called by the parser, perhaps in pieces."""
+        """Collects the request target; called by the parser once or more, as the target may be in pieces."""
         self._url += url
 
     def on_message_complete(self) -> None:
@@ -98,7 +98,7 @@
         self._answer(self._front.handle(method, path))
 
     def abort(self) -> None:
-        """Closes the connection without an answer and counts it."""
+        """Closes the connection without a response and counts it."""
         self.due = None
         if self._transport is not None:
             self._front.counters.add("admin.calls_unfinished")
@@ -117,11 +117,11 @@
 
 
 class AdminFront:
-    """Listens at the second address on the director's own event loop and routes operators' calls.
+    """Listens at the admin address on the director's own event loop and routes operators' calls.
 
     Attributes:
         connections: Open connections, the oldest first.
-        address: Where it listens, once `listen` has returned.
+        address: The address it listens at, once `listen` has returned.
     """
 
     def __init__(
@@ -133,7 +133,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
-        """Starts to listen; raises `OSError` if the address cannot be bound."""
+        """Starts to listen. Raises `OSError` if the address cannot be bound."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -142,7 +142,7 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def handle(self, method: str, path: str) -> Response:
-        """Calls the handler of a request; 404 for an unknown path, 405 for a method that it lacks."""
+        """Calls the handler of a request; answers 404 for an unknown path, 405 for an unsupported method."""
         methods = self.routes.get(path)
         if methods is None:
             self.counters.add("admin.unknown_path")
@@ -154,25 +154,25 @@
         self.counters.add("admin.calls")
         return handler()
 
-    def register(self, call: AdminConnection) -> None:
+    def register(self, connection: AdminConnection) -> None:
         """Adds a connection and starts its timer; at `MAX_ADMIN_CONNECTIONS` the oldest is aborted first."""
         if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
             oldest = next(iter(self.connections))
             self.counters.add("admin.made_room")
             oldest.abort()
-        self.connections[call] = None
-        call.due = self.deadlines.add(self.clock() + CALL_TIMEOUT_MS, call.abort)
+        self.connections[connection] = None
+        connection.due = self.deadlines.add(self.clock() + CALL_TIMEOUT_MS, connection.abort)
 
-    def unregister(self, call: AdminConnection) -> None:
-        """Removes a connection that has closed, and its timer."""
-        self.connections.pop(call, None)
-        self.deadlines.drop(call.due)
-        call.due = None
+    def unregister(self, connection: AdminConnection) -> None:
+        """Removes a closed connection and its timer."""
+        self.connections.pop(connection, None)
+        self.deadlines.drop(connection.due)
+        connection.due = None
 
     def close(self) -> None:
-        """Stops listening and aborts every open call."""
+        """Stops listening and aborts every open connection."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for call in list(self.connections):
-            call.abort()
+        for connection in list(self.connections):
+            connection.abort()
--- a/gladewalk/net/clients.py
+++ b/gladewalk/net/clients.py
@@ -1,4 +1,4 @@
-"""The client listener: accepts HTTP/1.1 connections, bounds their number and how long each may idle."""
+"""The client listener: accepts HTTP/1.1 connections and limits their number and idle time."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from .accept_errors import AcceptBackoff, error_name
 from .connection import ClientConnection
 from .environment import Listener, open_listener
-from .read_turns import ReadTurns
+from .read_iterations import ReadIterations
 
 MAX_BODY_BYTES = 64 * 1024  # a write carries at most 48,000 bytes
 LISTEN_BACKLOG = 1024
-FIRST_BYTE_TIMEOUT_MS = 2_000.0  # a request must have begun to come this long after its connection
-IDLE_TIMEOUT_MS = 4_500.0  # clients close theirs after 4 s; one that does not is closed here
-LINGER_MS = 1_000.0  # how long a rejected client's input is discarded, so that it sees the rejection
-EVICTION_GRACE_MS = 100.0  # a new connection has this long to send before it may be evicted for another
-EVICTION_CANDIDATES = 8  # connections of each state looked at for one to evict
+FIRST_BYTE_TIMEOUT_MS = 2_000.0  # the first byte of a request must be received by this long after the connect
+IDLE_TIMEOUT_MS = 4_500.0  # clients close idle connections after 4 s; others are closed here
+LINGER_MS = 1_000.0  # how long input after the last response is discarded, so that the client reads it
+EVICTION_GRACE_MS = 100.0  # a new connection may not be evicted before this time
+EVICTION_CANDIDATES = 8  # how many connections of each state are examined for an eviction
 SWEEP_INTERVAL_MS = 100.0
-PAUSED_CHECK_INTERVAL_MS = 50.0  # how often a client that is not read is checked for a disconnect
-FINAL_LINGER_MS = 100.0  # at the end: input that crosses a connection's end for this long meets no reset
-SPARE_CONNECTIONS = 32  # over the clients' part of the descriptors, while others are being closed
+PAUSED_CHECK_INTERVAL_MS = 50.0  # interval of checks whether a paused client has disconnected
+FINAL_LINGER_MS = 100.0  # at shutdown: input received this soon after a connection's end causes no reset
+SPARE_CONNECTIONS = 32  # beyond the clients' descriptors, while evicted connections are being closed
 
 
 def _return_connection(connection: ClientConnection) -> ClientConnection:
@@ -37,11 +37,11 @@
 
 
 class ClientFront:
-    """Listens for clients; once `is_closing`, connections end with the answer that they have open.
+    """Listens for clients; once `is_closing`, each connection ends after its outstanding response.
 
-    Clients may hold their part of the descriptors. A connection without an open request is in one of three
-    states, each with a time limit, and may be evicted for a new one in this order: lingering (its last answer
-    is written), idle, awaiting a request.
+    Clients may use a fixed share of the file descriptors. A connection without an open request is in one of
+    three states, each with a time limit, and may be evicted to make room for a new one in this order:
+    lingering (its last response is written), idle, awaiting a request.
     """
 
     def __init__(
@@ -59,29 +59,29 @@
         self.connection_type: type[ClientConnection] = ClientConnection
         self.max_body_bytes = MAX_BODY_BYTES
         self.request_timeout_ms = FIRST_BYTE_TIMEOUT_MS  # from a request's first byte to its last
-        self.sends_hold_off = False  # whether rejections name a wait in ms as well
-        self.connections: dict[ClientConnection, None] = {}  # by arrival: runs are repeatable
-        # Connections without an open request: when each entered its state, in that order.
+        self.sends_hold_off = False  # whether rejections give the wait in ms as well
+        self.connections: dict[ClientConnection, None] = {}  # in order of arrival: runs are repeatable
+        # Connections without an open request and when each entered its state, in that order.
         self.awaiting: dict[ClientConnection, float] = {}
         self.idle: dict[ClientConnection, float] = {}
         self.lingering: dict[ClientConnection, float] = {}
-        self.descriptor_count = 0  # held by clients, each counted once from accept to its connection's end
-        self.evicted_count = 0  # of these, connections told to end
-        self.open_by_trace_id: dict[str, ClientRequest] = {}  # the first request that came with an id
+        self.descriptor_count = 0  # used by clients, from accept to the end of the connection
+        self.evicted_count = 0  # of these, evicted connections that have not ended yet
+        self.open_by_trace_id: dict[str, ClientRequest] = {}  # the first open request with each id
         self.is_closing = False
-        self.readiness = Readiness(is_started=True)  # the director's own, once it has one
+        self.readiness = Readiness(is_started=True)  # replaced by the director's own
         self.address: Address = ("", 0)
         self._listener: Listener | None = None
         self._is_accepting = False
         self._accept_backoff = AcceptBackoff()
-        self.read_turns = ReadTurns(clock)
+        self.read_iterations = ReadIterations(clock)
         self._setting_up: dict[asyncio.Task[object], ClientConnection] = {}
-        self._paused: dict[ClientConnection, None] = {}  # not read at the moment: nothing reports their end
+        self._paused: dict[ClientConnection, None] = {}  # while reading is paused, no event reports their end
 
     # Accepting.
 
     def listen(self, address: Address, inherited_fd: int | None = None) -> None:
-        """Binds `address`, or adopts the listener inherited as `inherited_fd`, which is never bound again."""
+        """Binds `address`, or uses the inherited listener `inherited_fd`, which is bound already."""
         self._listener = self.open_listener(address, LISTEN_BACKLOG, inherited_fd)
         host, port = self._listener.getsockname()[:2]
         self.address = (host, port)
@@ -89,13 +89,13 @@
         self.sweep()
 
     def accept(self) -> None:
-        """Accepts every connection that waits, within the limit.
+        """Accepts all waiting connections, up to the limit.
 
-        The event loop's own server accepts one a turn: with hundreds of clients arriving at once and turns of
-        some milliseconds, requests would stay unread past their deadlines. Accepting stops at the limit of
-        descriptors, as the loop would spin on a listener that stays readable.
+        The event loop's own server accepts one connection per iteration. With hundreds of simultaneous
+        clients and iterations of several milliseconds, requests would stay unread past their deadlines. At
+        the limit of descriptors accepting is paused, as the loop would spin on a readable listener.
         """
-        self._accept_backoff.start_turn()
+        self._accept_backoff.start_iteration()
         while self._listener is not None:
             if self.descriptor_count >= self.connection_limit + SPARE_CONNECTIONS:
                 return self._pause_accepting()
@@ -104,14 +104,14 @@
             except BlockingIOError:
                 return self._all_accepted()
             except OSError as error:
-                if self._has_paused_for(error):
+                if self._handle_accept_error(error):
                     return
                 continue
             self._accept_backoff.accepted()
-            self._take_connection(peer)
+            self._set_up_connection(peer)
 
-    def _has_paused_for(self, error: OSError) -> bool:
-        """Counts an error of `accept`; pauses for one of the process, and returns whether it did."""
+    def _handle_accept_error(self, error: OSError) -> bool:
+        """Counts an error of `accept`; True if accepting was paused, as the error concerns the process."""
         self.counters.add("clients.accept_failed")
         self.counters.add(f"clients.accept_failed.{error_name(error)}")
         pause_ms = self._accept_backoff.pause_ms(error)
@@ -121,8 +121,8 @@
         self.deadlines.add(self.clock() + pause_ms, self._resume_accepting)
         return True
 
-    def _take_connection(self, peer: socket.socket) -> None:
-        """Makes a transport for a connection that was accepted, and makes room for it."""
+    def _set_up_connection(self, peer: socket.socket) -> None:
+        """Creates the transport of an accepted connection and evicts another one if necessary."""
         loop = asyncio.get_running_loop()
         self.descriptor_count += 1
         if self.descriptor_count - self.evicted_count > self.connection_limit + SPARE_CONNECTIONS // 2:
@@ -134,21 +134,21 @@
         connection = self.connection_type(self)
         task = loop.create_task(loop.connect_accepted_socket(partial(_return_connection, connection), peer))
         self._setting_up[task] = connection
-        task.add_done_callback(self._set_up)
+        task.add_done_callback(self._connection_set_up)
 
-    def _set_up(self, task: asyncio.Task[object]) -> None:
+    def _connection_set_up(self, task: asyncio.Task[object]) -> None:
         has_failed = task.cancelled() or task.exception() is not None
-        if not self._setting_up.pop(task).is_open and has_failed:  # else it is counted until it is lost
+        if not self._setting_up.pop(task).is_open and has_failed:  # an open one counts until it is lost
             self.descriptor_count -= 1
             self._resume_accepting()
 
     def _make_room(self) -> None:
-        """Ends idle connections while accepting is paused: else nothing would until they time out."""
+        """Evicts connections while accepting is paused, as they would otherwise stay until they time out."""
         while self.descriptor_count - self.evicted_count > self.connection_limit and self._evict_one():
             pass
 
     def _evict_one(self) -> bool:
-        """Ends the longest idle connection, none with an open or unread request; False if there is none."""
+        """Evicts the connection idle the longest without open or unread request; False if there is none."""
         now = self.clock()
         for table, grace_ms in ((self.lingering, 0.0), (self.idle, 0.0), (self.awaiting, EVICTION_GRACE_MS)):
             for connection, since_ms in itertools.islice(table.items(), EVICTION_CANDIDATES):
@@ -166,12 +166,12 @@
             connection.evict(reason)
 
     def _all_accepted(self) -> None:
-        """Closes the listener once closing: only now, as connections waiting at it would be reset."""
+        """Closes the listener if the front is closing; earlier would reset connections in its queue."""
         if self.is_closing:
             self.stop_accepting()
 
     def stop_accepting(self) -> None:
-        """Closes the listener; other processes that hold it go on accepting from its queue."""
+        """Closes the listener; other processes that share it continue to accept from its queue."""
         if self._listener is not None:
             self._pause_accepting()
             self._listener.close()
@@ -198,7 +198,7 @@
         if self.readiness.is_draining:
             self._drain_idle(now)
         if self.is_closing:
-            self.accept()  # connections that found no room before
+            self.accept()  # connections that exceeded the limit before
             self._shut_down_unused()
         if not self._is_accepting:
             self._make_room()
@@ -208,7 +208,7 @@
     def _sweep_awaiting(self, now: float) -> None:
         for connection in _older_than(self.awaiting, now, FIRST_BYTE_TIMEOUT_MS):
             if not connection.has_partial_request:
-                if connection.is_input_empty():  # else its request has come and is about to be read
+                if connection.is_input_empty():  # otherwise its request is unread
                     self.counters.add("clients.asked_nothing")
                     self._evict(connection, "asked_nothing")
             elif now - connection.request_began_ms > self.request_timeout_ms:
@@ -222,18 +222,18 @@
 
     def _sweep_idle(self, now: float) -> None:
         for connection in _older_than(self.idle, now, IDLE_TIMEOUT_MS):
-            if connection.is_input_empty() and not connection.is_sending(now):  # else it is about to ask
+            if connection.is_input_empty() and not connection.is_sending(now):  # else a request is unread
                 connection.shut_down()
         for connection in list(self.idle):
             if connection.is_writing_paused and now > connection.client_deadline_ms + LINGER_MS:
-                self.counters.add("clients.never_read")  # its answer takes up memory for nothing
+                self.counters.add("clients.never_read")  # frees the memory of its unread response
                 connection.abort("answers_unread")
 
     def _drain_idle(self, now: float) -> None:
         for connection in list(self.idle):
             if not self.readiness.may_close_idle(now, connection.is_input_empty()):
                 continue
-            if connection.is_input_empty():  # else it asks within this turn, and that answer is its last
+            if connection.is_input_empty():  # otherwise its unread request gets the last response
                 self.counters.add("clients.drained")
                 connection.shut_down()
 
@@ -247,7 +247,7 @@
         self.update_state(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forgets a connection and frees its place."""
+        """Removes a closed connection and its descriptor from the counts."""
         self.connections.pop(connection, None)
         self._paused.pop(connection, None)
         self._set_state(connection, None)
@@ -256,7 +256,7 @@
         self._resume_accepting()
 
     def update_state(self, connection: ClientConnection) -> None:
-        """Notes whether a connection has a request open, awaits one or is idle."""
+        """Records whether a connection has an open request, awaits one or is idle."""
         if connection.open_number is not None or connection.pipelined:
             return self._set_state(connection, None)
         if connection not in self.connections or connection.is_ending or connection.is_evicted:
@@ -265,11 +265,11 @@
         self._set_state(connection, self.awaiting if is_awaiting else self.idle)
 
     def start_lingering(self, connection: ClientConnection) -> None:
-        """Notes that a connection's last answer is written: the client has a while to close it."""
+        """Records that a connection's last response is written; the client has `LINGER_MS` to close it."""
         self._set_state(connection, self.lingering)
 
     def watch_paused(self, connection: ClientConnection) -> None:
-        """Checks from time to time whether the client of a connection that is not read has disconnected."""
+        """Starts periodic checks whether the client of a paused connection has disconnected."""
         if not self._paused:
             self.deadlines.add(self.clock() + PAUSED_CHECK_INTERVAL_MS, self._check_paused)
         self._paused[connection] = None
@@ -299,33 +299,33 @@
                 table[connection] = self.clock()
 
     def rejection_status(self, request: ClientRequest) -> int | None:
-        """Returns the status for a request that no server could serve, else None."""
+        """Returns the status for a request that no server could serve, otherwise None."""
         cls = self.exchange.dispatcher.state.classes.get(request.class_name)
         if cls is None:
             return 404
         if cls.is_write and request.method != "PUT":
             return 405
-        if cls.idempotency is Idempotency.KEYED and not request.idempotency_key:  # its retries are no repeats
+        if cls.idempotency is Idempotency.KEYED and not request.idempotency_key:  # retries would run twice
             self.counters.add("clients.key_missing")
             return 400
         return None
 
     def claim_trace_id(self, request: ClientRequest) -> bool:
-        """Whether the request's id is free, or in use for the same object; servers know requests by id."""
+        """Claims the id by which servers know a request; False if another object's request uses it."""
         claimed = self.open_by_trace_id.setdefault(request.trace_id, request)
         if claimed is request:
             return True
         return (claimed.object_name, claimed.part) == (request.object_name, request.part)
 
     def release_trace_id(self, request: ClientRequest) -> None:
-        """Frees the request's id, if it was the first with it."""
+        """Frees the request's id if this request was the first with it."""
         if self.open_by_trace_id.get(request.trace_id) is request:
             del self.open_by_trace_id[request.trace_id]
 
     # Graceful shutdown.
 
     def close(self) -> None:
-        """Accepts the connections that wait already, and no more; `is_done` tells when all are answered."""
+        """Accepts the connections that are waiting and no later ones; `is_done` reports the end."""
         self.is_closing = True
         self.accept()
         self._shut_down_unused()
@@ -337,9 +337,9 @@
                 connection.shut_down()
 
     def is_done(self) -> bool:
-        """Whether no answer is owed, and no connection was ended so lately that its client may still send.
+        """Whether no response is outstanding and no connection has ended within `FINAL_LINGER_MS`.
 
-        Counts requests that have come and are unread, and answers that are still in this process's buffers
+        Unread requests count as outstanding, and so do responses that are still in this process's buffers
         because their client reads slowly.
         """
         self._shut_down_unused()
--- a/gladewalk/net/coordinator.py
+++ b/gladewalk/net/coordinator.py
@@ -1,6 +1,6 @@
-"""The watch on the coordinator: a TCP connection that follows its endpoint feed, replaced when it fails.
+"""The watch on the coordinator: follows its endpoint feed over a TCP connection, replaced when it fails.
 
-The protocol is one line, `follow N`, which asks for all events after number N.
+The director sends one line, `follow N`, which requests all events after number N.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from ..core.deadlines import DeadlineKey, Deadlines
 from .endpoint_feed import EndpointFeed
 
-MAX_SILENCE_MS = 2_500.0  # a heartbeat comes each second: a connection silent for longer is dead
+HEARTBEAT_TIMEOUT_MS = 2_500.0  # the coordinator sends a heartbeat each second
 CONNECT_TIMEOUT_MS = 1_000.0
 MIN_BACKOFF_MS = 50.0
-MAX_BACKOFF_MS = 400.0  # short: an event counts as notified 2 s after a break even if it did not arrive
-MAX_UNUSABLE_MS = 5_000.0  # how long unfinished or unusable lines keep a connection alive
+MAX_BACKOFF_MS = 400.0  # short: 2 s after a disconnect an event counts as known here, received or not
+USABLE_LINE_TIMEOUT_MS = 5_000.0  # a connection that has sent no complete, valid line for this long is closed
 MAX_LINE_BYTES = 4 * 1024 * 1024
 
 
 class CoordinatorConnection(asyncio.Protocol):
-    """One connection to the coordinator; splits what it receives into lines."""
+    """One connection to the coordinator; splits received data into lines."""
 
     def __init__(self, watch: CoordinatorWatch, address: Address) -> None:
         self.watch, self.address = watch, address
@@ -31,35 +31,35 @@
         self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Asks for the events after the last one known."""
+        """Requests the events after the last one known."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not inherit from it
-        if not self.watch.adopt(self):
+        if not self.watch.make_current(self):
             return self.transport.abort()
         self.transport.write(f"follow {self.watch.feed.last_index}\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Applies complete lines; a bad one ends the connection, and the next fetches it again."""
+        """Applies complete lines; an invalid one ends the connection, and the next one fetches it again."""
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         if not self.watch.is_current(self):
             return
-        is_good = all(self.watch.feed.read_line(line) for line in lines if line.strip())
-        is_usable = is_good and bool(lines)
+        is_valid = all(self.watch.feed.read_line(line) for line in lines if line.strip())
+        is_usable = is_valid and bool(lines)
         self.watch.data_received(is_usable)
         if is_usable:
             self.watch.notify_synced()
-        if (not is_good or len(self.partial_line) > MAX_LINE_BYTES) and self.transport is not None:
+        if (not is_valid or len(self.partial_line) > MAX_LINE_BYTES) and self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Has the watch reconnect."""
+        """Notifies the watch, which reconnects."""
         self.transport = None
         self.watch.connection_lost(self)
 
 
 class CoordinatorWatch:
-    """Keeps one connection to the coordinator and replaces it, with backoff, when it ends or falls silent.
+    """Keeps one connection to the coordinator and replaces it, with backoff, when it ends or is unresponsive.
 
-    One connection is current at a time; data and the end of an earlier one are ignored.
+    One connection is current at a time; data and the end of an earlier connection are ignored.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self.backoff_ms = MIN_BACKOFF_MS
         self.is_closing = False
         self.on_synced: Callable[[], None] | None = None  # called once, after the first complete lines
-        self._last_usable_ms = 0.0  # when the connection began, or last delivered complete lines
+        self._last_usable_ms = 0.0  # when the connection began, or last sent complete valid lines
         self._timer: DeadlineKey | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -91,11 +91,11 @@
                 await asyncio.get_running_loop().create_connection(
                     lambda: CoordinatorConnection(self, address), *address
                 )
-        except (OSError, ValueError):  # a timeout is an OSError; ValueError: a name that cannot be looked up
+        except (OSError, ValueError):  # OSError includes a timeout; ValueError: an invalid name
             self._reconnect_later()
 
     def set_address(self, address: Address) -> None:
-        """Follows the coordinator at another address from the last event on."""
+        """Connects to another address of the coordinator and follows the feed from the last known event."""
         if address == self.address:
             return
         self.address, self.backoff_ms = address, MIN_BACKOFF_MS
@@ -109,8 +109,8 @@
 
     # Called by the connection.
 
-    def adopt(self, connection: CoordinatorConnection) -> bool:
-        """Makes a new connection the current one; False if it was dialled for an earlier address."""
+    def make_current(self, connection: CoordinatorConnection) -> bool:
+        """Makes a new connection the current one; False if it was opened to an earlier address."""
         if self.is_closing or connection.address != self.address:
             return False
         self.connection, self._last_usable_ms = connection, self.feed.clock()
@@ -118,20 +118,21 @@
         return True
 
     def is_current(self, connection: CoordinatorConnection) -> bool:
-        """Whether this connection's data counts."""
+        """Whether the connection is the current one, whose data is applied."""
         return connection is self.connection
 
     def notify_synced(self) -> None:
-        """Calls `on_synced` once: all that the coordinator knew at our start has been applied."""
+        """Calls `on_synced` once, after the coordinator's first events have been applied."""
         if self.on_synced is not None:
             call, self.on_synced = self.on_synced, None
             call()
 
     def data_received(self, is_usable: bool) -> None:
-        """Restarts the silence timer; `is_usable`: the data held complete lines and no bad one.
+        """Restarts the heartbeat timer; `is_usable`: the data had complete lines and no invalid one.
 
-        Only usable data resets the backoff and keeps the connection for more than `MAX_UNUSABLE_MS`, so a
-        peer that accepts connections and sends nothing of use is neither polled fast nor kept for long.
+        Only usable data resets the backoff and keeps the connection open beyond `USABLE_LINE_TIMEOUT_MS`. A
+        peer that accepts connections and sends no usable data is therefore neither reconnected to without
+        backoff nor kept connected for long.
         """
         if is_usable:
             self.backoff_ms, self._last_usable_ms = MIN_BACKOFF_MS, self.feed.clock()
@@ -157,13 +158,15 @@
         if self.is_closing:
             return
         backoff_ms, self.backoff_ms = self.backoff_ms, min(MAX_BACKOFF_MS, self.backoff_ms * 2.0)
-        # With jitter, so that directors cut off together do not all come back at one moment.
+        # Jitter keeps directors that were disconnected together from all reconnecting at the same moment.
         wait_ms = backoff_ms * (0.5 + self.random.random())
         self._timer = self.deadlines.add(self.feed.clock() + wait_ms, self.connect)
 
     def _restart_timer(self) -> None:
         self.deadlines.drop(self._timer)
-        until_ms = min(self.feed.clock() + MAX_SILENCE_MS, self._last_usable_ms + MAX_UNUSABLE_MS)
+        until_ms = min(
+            self.feed.clock() + HEARTBEAT_TIMEOUT_MS, self._last_usable_ms + USABLE_LINE_TIMEOUT_MS
+        )
         self._timer = self.deadlines.add(until_ms, self._on_heartbeat_timeout)
 
     def _on_heartbeat_timeout(self) -> None:
--- a/gladewalk/net/endpoint_feed.py
+++ b/gladewalk/net/endpoint_feed.py
@@ -14,15 +14,15 @@
 from ..core.counters import Counters
 from ..core.exchange import Exchange
 
-MAX_REFETCHES = 3  # times that an event is fetched again of which something was unusable
-MIN_REFETCHES = 1  # and after fetching again has not helped
-UNUSABLE = (ConfigError, InvalidMessageError, TypeError, ValueError, KeyError, AttributeError, OverflowError)
+MAX_REFETCHES = 3  # how often an event with an unusable part is fetched again
+MIN_REFETCHES = 1  # the same, after fetching an earlier event again has not helped
+INVALID = (ConfigError, InvalidMessageError, TypeError, ValueError, KeyError, AttributeError, OverflowError)
 
-FeedMessage = dict[str, Any]  # one line of the feed as JSON has it
+FeedMessage = dict[str, Any]  # one line of the feed, decoded from JSON
 
 
 class EndpointFeed:
-    """Applies each event of the feed once and in order, however often a connection delivers it."""
+    """Applies each event of the feed once and in order, however often it is received."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.exchange, self.roles, self.clock, self.counters = exchange, config.roles, clock, counters
         self.instants = InstantConverter(clock, wall_clock)
         self.last_index = self.initial_index = 0
-        self.is_resumed = False  # `last_index` comes from a run before this one
+        self.is_resumed = False  # `last_index` was stored by a previous run
         self.on_event: Callable[[int, FeedMessage], None] | None = None  # called after each complete event
         self._refetched = (0, 0)  # the last event with an unusable part, and how often it was fetched again
         self._max_refetches = MAX_REFETCHES
@@ -53,14 +53,14 @@
             self.last_index, self.is_resumed = index, True
 
     def read_line(self, data: bytes) -> bool:
-        """Takes one line of the feed; False if it is malformed or leaves a gap, so must be fetched again."""
+        """Applies one line of the feed; False if it is malformed or leaves a gap, to be fetched again."""
         message = self._parse(data)
         if message is None:
             return False
         index = message["index"]
         is_heartbeat = len(message) == 1  # the number of the last event, sent each second
         if self.is_resumed and is_heartbeat and index < self.last_index:
-            # This is another coordinator than the previous run's: its numbering is its own.
+            # This is not the coordinator of the previous run: it numbers its events independently.
             self.last_index, self.is_resumed = self.initial_index, False
             self.counters.add("coordinator.numbering_back")
             return False
@@ -88,18 +88,18 @@
         if not is_complete and self._should_refetch(index):
             return False
         if is_complete and self._refetched[0] == index:
-            self._max_refetches = MAX_REFETCHES  # it was only damaged on its way
+            self._max_refetches = MAX_REFETCHES  # the event was only damaged in transit
         self.last_index = index
         if is_complete and self.on_event is not None:
             self.on_event(index, message)
         return True
 
     def _should_refetch(self, index: int) -> bool:
-        """Whether an event with an unusable part is fetched once more, with all that follows it.
+        """Whether an event with an unusable part is fetched once more, together with all events after it.
 
-        Fetching again recovers a change that was damaged on its way. The number of times is bounded, so that
-        an event which nobody here can use does not block the feed; after the first such event each further
-        one costs a single retry.
+        Fetching again recovers a change that was damaged in transit. The number of retries is limited, so
+        that an event that this director cannot use does not block the feed; after the first such event, each
+        further one costs a single retry.
         """
         previous, count = self._refetched
         count = count + 1 if previous == index else 1
@@ -111,14 +111,14 @@
         return False
 
     def apply_event(self, event: FeedMessage) -> bool:
-        """Applies what can be used of an event; False if a part of it was unusable, which is counted."""
+        """Applies the usable parts of an event; False if a part was unusable, which is also counted."""
         bad_entries = 0
         try:
             if "endpoints" in event:
                 bad_entries = self._apply_list(event["endpoints"])
             if "evict" in event:
                 self._apply_purge(event["evict"])
-        except UNUSABLE:
+        except INVALID:
             self.counters.add("coordinator.bad_events")
             return False
         self.counters.add("coordinator.events")
@@ -132,11 +132,11 @@
             try:
                 entries.append(read_endpoint(entry, self.roles))
                 models[str(entry["uid"])] = str(entry.get("model", ""))
-            except UNUSABLE:
+            except INVALID:
                 self.counters.add("coordinator.bad_entries")
         bad_entries = len(change["targets"]) - len(entries)
         kind = api.EndpointListKind.DELTA
-        # A full list with an unusable entry counts as a change: else that entry's server would be removed.
+        # A full list with an unusable entry is applied as a change, so that this entry's server is kept.
         if not self._has_list or (change.get("all") and not bad_entries):
             kind = api.EndpointListKind.COMPLETE if self._has_list else api.EndpointListKind.PERSISTED
         self._has_list = True
@@ -146,7 +146,7 @@
         return bad_entries
 
     def _with_steady_start(self, server: api.Server) -> api.Server:
-        """Returns a listed server with the start of its process in steady time; 0 stands for long ago."""
+        """Returns a listed server with its process's start in steady time; 0 means long ago."""
         if server.started_ms <= 0.0:
             return server
         return replace(server, started_ms=self.instants.to_steady(UnixInstant(server.started_ms)))
--- a/gladewalk/net/environment.py
+++ b/gladewalk/net/environment.py
@@ -1,6 +1,6 @@
-"""What a director takes from its environment beside the event loop: clocks, listening sockets, randomness.
+"""The clocks, listening sockets and random numbers that a director uses, apart from the event loop.
 
-Simulation replaces all of it: virtual clocks, listeners in memory, seeded random numbers.
+A simulation replaces them all by virtual clocks, in-memory listeners and seeded random numbers.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
         """Stops listening."""
 
     def getsockname(self) -> Any:
-        """Returns the address that is listened at."""
+        """Returns the address that the socket listens at."""
 
     def fileno(self) -> int:
         """Returns the descriptor, for the event loop."""
 
 
 def open_listener(address: Address, backlog: int, inherited_fd: int | None) -> Listener:
-    """Binds `address`, or adopts the listener inherited as `inherited_fd`, which is never bound again."""
+    """Binds `address`, or uses the inherited listener `inherited_fd`, which is already bound."""
     if inherited_fd is not None:
         listener = socket.socket(fileno=inherited_fd)
     else:
@@ -46,10 +46,10 @@
 class Environment:
     """The operating system's clocks, sockets and randomness, unless replaced."""
 
-    clock: SteadyClock = field(default_factory=AnchoredClock)  # steady ms, never stepped
+    clock: SteadyClock = field(default_factory=AnchoredClock)  # steady milliseconds, never stepped
     listen: Callable[[Address, int, int | None], Listener] = open_listener
     new_random: Callable[[], random.Random] = random.Random  # each seeded by the system
-    wall_clock: WallClock = read_wall_clock  # for instants of other machines alone
+    wall_clock: WallClock = read_wall_clock  # only for instants exchanged with other machines
 
 
 REAL_ENVIRONMENT = Environment()
--- a/gladewalk/net/listening.py
+++ b/gladewalk/net/listening.py
@@ -1,4 +1,4 @@
-"""Opens listeners at the start, also while the system lacks what a socket needs for a moment."""
+"""Opens listeners at the start, with retries while the system temporarily lacks resources for a socket."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 TRANSIENT_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR}
 )
-"""Errors of socket, bind and listen that pass (Linux, socket(2), bind(2)); others are the configuration's."""
+"""Temporary errors of socket, bind and listen (socket(2), bind(2)); others are configuration errors."""
 
-MAX_LISTEN_WAIT_MS = 5_000.0  # a restarted director is ready some seconds after its start
+MAX_LISTEN_WAIT_MS = 5_000.0  # a restarted director must be ready within seconds
 
 
 async def retry_listening(
@@ -23,7 +23,7 @@
     """Calls `listen` until it succeeds, for `MAX_LISTEN_WAIT_MS` at most.
 
     Raises:
-        OSError: An error that does not pass, or one that has not passed in that time.
+        OSError: An error that is not temporary, or a temporary one that lasts longer than that.
     """
     give_up_ms, backoff_ms = clock() + MAX_LISTEN_WAIT_MS, MIN_BACKOFF_MS
     while True:
--- a/gladewalk/net/request_reader.py
+++ b/gladewalk/net/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads requests through the callbacks of httptools, within bounds, up to the end of each."""
+"""Parses requests through the callbacks of httptools, within size limits."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class ReadLimits(Protocol):
-    """What a reader needs of the listener: its clock, and the bound of a body."""
+    """The listener's clock and body size limit, as the reader uses them."""
 
     clock: Callable[[], float]
     max_body_bytes: int
 
 
 class RequestReader:
-    """The request that is being read; what is invalid in it raises `BadRequestError`.
+    """The request that is being read; an invalid one raises `BadRequestError`.
 
     Attributes:
-        has_partial_request: Its first byte has been read, its last one has not.
+        has_partial_request: Its first byte has been read, but not its last one.
         has_complete_head: Its head is complete.
         request_began_ms: When its first byte was read, steady milliseconds.
-        read_bytes: Of its head, then of its body.
-        framing_bytes: Read since the last byte of a body.
+        read_bytes: Bytes of its head that have been read, then bytes of its body.
+        framing_bytes: Bytes read since the last byte of a body.
     """
 
     def __init__(self, limits: ReadLimits) -> None:
@@ -43,34 +43,34 @@
 
     @abstractmethod
     def _continue_expected(self) -> None:
-        """The client waits for `100 Continue` before it sends the body (RFC 9110, section 10.1.1)."""
+        """Called if the client waits for `100 Continue` before the body (RFC 9110, section 10.1.1)."""
 
     def on_message_begin(self) -> None:
-        """A request's first byte."""
+        """Starts a new request at its first byte."""
         self.url, self.read_bytes, self.framing_bytes, self.headers, self.body_pieces = b"", 0, 0, {}, []
         self.has_partial_request, self.has_complete_head = True, False
         self.request_began_ms = self._limits.clock()
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
+        """Adds a piece of the request target."""
         self._count_bytes(len(url), MAX_HEADER_BYTES, 431)
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head or the trailer."""
+        """Adds a field of the head or the trailer."""
         self.read_bytes += len(name) + len(value)
         if self.read_bytes > MAX_HEADER_BYTES:
             raise BadRequestError(431)
         name = name.lower()
-        if name in self.headers and name in SINGLE_FIELDS:  # others may see the other one as the valid one
+        if name in self.headers and name in SINGLE_FIELDS:  # other parsers may use the other value
             raise BadRequestError(400)
         self.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """The head is complete; rejects a body whose length is ambiguous (RFC 9112, section 6.3)."""
+        """Checks the complete head; rejects a body of ambiguous length (RFC 9112, section 6.3)."""
         self.read_bytes, self.has_complete_head = 0, True
         length, coding = self.headers.get(b"content-length"), self.headers.get(b"transfer-encoding")
-        # A body whose end can be read in two ways may hide another request (request smuggling).
+        # A body whose end is ambiguous may hide another request (request smuggling).
         if coding is not None and (length is not None or coding.lower() != b"chunked"):
             raise BadRequestError(400)
         if length is not None and (not length.isdigit() or len(length) > 15):
@@ -81,7 +81,7 @@
             self._continue_expected()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Adds a piece of the body."""
         self._count_bytes(len(body), self._limits.max_body_bytes, 413)
         self.framing_bytes = 0
         self.body_pieces.append(body)
--- a/gladewalk/net/requests.py
+++ b/gladewalk/net/requests.py
@@ -7,17 +7,17 @@
 from ..core.exchange import ClientRequest
 from ..errors import GladewalkError
 
-MAX_WAIT_MS = 600_000.0  # no class has a deadline as long
+MAX_WAIT_MS = 600_000.0  # longer than the deadline of any class
 MAX_SIZE_KB = 1e9
 CLASS_NAME = re.compile(r"[A-Za-z0-9._~-]{1,64}\Z")
 OBJECT_NAME = re.compile(r"[0-9A-Fa-f]{1,16}\Z")
-PART_IN_QUERY = re.compile(r"(?:^|&)nth=([^&]*)")  # the last one counts
+PART_IN_QUERY = re.compile(r"(?:^|&)nth=([^&]*)")  # the last match is used
 PART = re.compile(r"[0-9]{1,9}\Z")
 TRACE_ID = re.compile(r"[0-9A-Fa-f]{16}\Z")
 IDEMPOTENCY_KEY = re.compile(rb"[\x21-\x7e]{1,128}\Z")  # one token, forwarded unchanged
 NUMBER = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,20})?\Z")
 ETAG = re.compile(r'(?:W/)?"([\x21\x23-\x7e]*)"\Z')
-# Fields of which a second one is an error.
+# Fields that may occur only once.
 SINGLE_FIELDS = {
     b"host", b"content-length", b"transfer-encoding", b"trace-id", b"max-wait-ms", b"x-batch", b"replay-key",
     b"is-retry",
@@ -38,7 +38,7 @@
 
 
 class BadRequestError(GladewalkError):
-    """A request that is answered with a 4xx status."""
+    """A request that gets a response with a 4xx status."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -55,7 +55,7 @@
 
 
 def parse_request(method: str, path: str, query: str, headers: Headers, body: bytes) -> ClientRequest:
-    """Parses a request; raises `BadRequestError` with the status that says what is wrong."""
+    """Parses a request; raises `BadRequestError` with the status of the response."""
     if method not in ("GET", "PUT"):
         raise BadRequestError(405)
     segments = path.split("/")  # of `/invoke/CLASS/OBJECT`
@@ -68,8 +68,8 @@
     group = _read_number(headers, b"x-batch", 255, 0.0)
     if body and method == "GET":
         raise BadRequestError(400)
-    has_good_names = CLASS_NAME.match(class_name) and OBJECT_NAME.match(object_name)
-    if not has_good_names or not TRACE_ID.match(trace_id) or not PART.match(part) or group % 1.0:
+    has_valid_names = CLASS_NAME.match(class_name) and OBJECT_NAME.match(object_name)
+    if not has_valid_names or not TRACE_ID.match(trace_id) or not PART.match(part) or group % 1.0:
         raise BadRequestError(400)
     key, retry = headers.get(b"replay-key"), headers.get(b"is-retry", b"0")
     if (key is not None and not IDEMPOTENCY_KEY.match(key)) or retry not in (b"0", b"1"):
--- a/gladewalk/net/sockets.py
+++ b/gladewalk/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets beyond what asyncio offers: unread input, the peer's end, writes and ends within the call."""
+"""Socket functions that asyncio lacks: unread input, a closed peer, immediate writes and shutdowns."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 import struct
 from typing import Protocol
 
-from uvloop.loop import TCPTransport  # type: ignore[attr-defined]  # its stubs lack it
+from uvloop.loop import TCPTransport  # type: ignore[attr-defined]  # missing in its stubs
 
 PEER_CLOSED_EVENTS = select.POLLERR | select.POLLHUP | getattr(select, "POLLRDHUP", 0)
 READABLE_EVENTS = select.POLLIN | PEER_CLOSED_EVENTS
-# Bytes that may come without one of a body among them: chunk framing or a trailer. Bounds what the parser
-# buffers silently while they go on.
+# Limit on consecutive bytes that belong to no body, such as chunk framing or a trailer: the parser buffers
+# them without a callback.
 MAX_FRAMING_BYTES = 32 * 1024
-# `tcpi_last_data_recv` in `struct tcp_info` (linux/tcp.h): ms since the last data came.
+# `tcpi_last_data_recv` in `struct tcp_info` (linux/tcp.h): ms since data was last received.
 LAST_DATA_RECEIVED = struct.Struct("=I")
 LAST_DATA_RECEIVED_OFFSET = 52
 TCP_INFO_BYTES = 104
 
 
 class SocketPoll(Protocol):
-    """The part of `select.poll` that is used."""
+    """The part of `select.poll` that is used here."""
 
     def poll(self, timeout: float | None = ..., /) -> list[tuple[int, int]]:
-        """Called with 0, returns at once whether there is unread input, or the peer has closed."""
+        """Returns at once, if called with 0, the events for unread input or a closed peer."""
 
 
 def socket_poll(transport: asyncio.Transport) -> SocketPoll:
-    """Returns the poll of a transport's socket; a transport without one provides its own as `unread`."""
+    """Returns a poll object for a transport's socket; a transport without one has its own as `unread`."""
     unread: SocketPoll | None = transport.get_extra_info("unread")
     if unread is not None:
         return unread
@@ -40,9 +40,9 @@
 
 
 def data_age_ms(transport: asyncio.Transport) -> float:
-    """Returns how long ago the last bytes came on a transport's connection, read or not, in milliseconds.
+    """Returns how long ago a transport's connection last received data, read or unread, in milliseconds.
 
-    Linux tells it in `tcp_info` (tcp(7)); 0 where it does not.
+    Linux reports it in `tcp_info` (tcp(7)); 0 if it is not available.
     """
     try:
         info = transport.get_extra_info("socket").getsockopt(
@@ -61,37 +61,37 @@
 
 
 def write_now(transport: asyncio.Transport, data: bytes) -> None:
-    """Writes data in this very call as far as the system takes it; a transport keeps the rest.
+    """Writes as much data as the system accepts before returning; the transport buffers the rest.
 
-    uvloop's TCP transport would write all of it when its turn ends, and by then what the data say of time may
-    be wrong.
+    uvloop's TCP transport would write all data at the end of the event-loop iteration. Remaining times that
+    the data contain, such as a request's, might be wrong by then.
     """
     is_deferring = isinstance(transport, TCPTransport) and not transport.is_closing()
     if is_deferring and transport.get_write_buffer_size() == 0:
-        data = data[_send_some(transport, data) :]
+        data = data[_write_available(transport, data) :]
     if data:
         transport.write(data)
 
 
-def _send_some(transport: asyncio.Transport, data: bytes) -> int:
+def _write_available(transport: asyncio.Transport, data: bytes) -> int:
     try:
         return os.write(transport.get_extra_info("socket").fileno(), data)
     except OSError:
-        return 0  # the transport meets the same error, and handles it
+        return 0  # the transport gets the same error and handles it
 
 
 def end_sending(transport: asyncio.Transport) -> None:
-    """Shuts down the sending side of a transport's connection in this very call (shutdown(2))."""
-    unconnected = transport.get_extra_info("unread") is not None  # a transport in memory has no socket
+    """Shuts down the sending side of a transport's connection at once (shutdown(2))."""
+    unconnected = transport.get_extra_info("unread") is not None  # an in-memory transport has no socket
     if unconnected or transport.is_closing():
         return
     try:
         connection = socket.socket(fileno=transport.get_extra_info("socket").fileno())
     except OSError:
-        return  # closed by now
+        return  # already closed
     try:
         connection.shutdown(socket.SHUT_WR)
     except OSError:
-        pass  # reset by its peer
+        pass  # reset by the peer
     finally:
-        connection.detach()  # the descriptor stays the transport's
+        connection.detach()  # the transport keeps the descriptor
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -7,7 +7,12 @@
 
 from gladewalk.director import Director
 from gladewalk.interface import ServerState
-from gladewalk.net.coordinator import MAX_BACKOFF_MS, MAX_SILENCE_MS, MAX_UNUSABLE_MS, MIN_BACKOFF_MS
+from gladewalk.net.coordinator import (
+    HEARTBEAT_TIMEOUT_MS,
+    MAX_BACKOFF_MS,
+    MIN_BACKOFF_MS,
+    USABLE_LINE_TIMEOUT_MS,
+)
 from gladewalk.net.endpoint_feed import MAX_REFETCHES
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import DirectorHarness, wait_until
@@ -130,12 +135,12 @@
             director.endpoint_feed.clock = lambda: real() + ahead
             begun = real()
             for step in range(1, 4):  # half a line goes on and on, always before the time of a silence
-                ahead = step * 0.9 * MAX_SILENCE_MS
+                ahead = step * 0.9 * HEARTBEAT_TIMEOUT_MS
                 world.coordinator.send_raw(b" ")
                 written[0] = step
                 await wait_until(lambda: (c := watch.connection) is None or len(c.partial_line) >= written[0])
                 if watch._timer is not None:
-                    assert watch._timer[0] <= max(real(), begun) + MAX_UNUSABLE_MS
+                    assert watch._timer[0] <= max(real(), begun) + USABLE_LINE_TIMEOUT_MS
             world.running_director.endpoint_feed.clock = real
 
 
--- a/tests/test_golden_exchange.py
+++ b/tests/test_golden_exchange.py
@@ -130,7 +130,7 @@
 class AcceptingWatch:
     feed = FollowedFeed()
 
-    def adopt(self, connection: CoordinatorConnection) -> bool:
+    def make_current(self, connection: CoordinatorConnection) -> bool:
         return True
 
 
