--- a/gladewalk/net/clients.py
+++ b/gladewalk/net/clients.py
@@ -17,7 +17,7 @@
 from .accept_errors import AcceptBackoff, error_name
 from .connection import ClientConnection
 from .environment import Listener, open_listener
-from .read_iterations import ReadIterations
+from .read_turns import ReadIterations
 
 MAX_BODY_BYTES = 64 * 1024  # a write carries at most 48,000 bytes
 LISTEN_BACKLOG = 1024
--- a/gladewalk/net/connection_owner.py
+++ b/gladewalk/net/connection_owner.py
@@ -8,7 +8,7 @@
 from ..core.counters import Counters
 from ..core.exchange import ClientRequest, Exchange
 from ..core.readiness import Readiness
-from .read_iterations import ReadIterations
+from .read_turns import ReadIterations
 
 Connection = TypeVar("Connection", contravariant=True)
 
