--- a/gladewalk/net/connection.py
+++ b/gladewalk/net/connection.py
@@ -88,7 +88,7 @@
         self.framing_bytes += len(data)
         try:
             self.parser.feed_data(data)
-            if in_head and self.has_partial_request and not self.has_complete_head:  # limits each field
+            if in_head and self.has_partial_request and not self.has_complete_head:  # limits field size
                 self._count_bytes(len(data), MAX_HEADER_BYTES, 431)
             if self.has_partial_request and self.framing_bytes > MAX_FRAMING_BYTES:
                 self._reject_input(413)
--- a/tests/test_client_crowd.py
+++ b/tests/test_client_crowd.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors at one go cost nobody else's request its answer."""
+"""A burst of idle connections that uses up the descriptors does not keep other requests from responses."""
 
 import asyncio
 import socket
@@ -15,59 +15,59 @@
 
 from .server_scripts import BYTES, hit, running
 
-MAX_WAIT_S = 1.0  # a request behind the crowd is answered within this
+MAX_WAIT_S = 1.0  # a request after the burst gets its response within this time
 
 
-def test_a_burst_of_idle_connections_holds_no_request_up_at_the_listener() -> None:
-    async def story() -> tuple[int, float]:
-        async with running(ScriptedServer(hit)) as (world, director):
+def test_a_burst_of_idle_connections_does_not_delay_a_request_at_the_listener() -> None:
+    async def scenario() -> tuple[int, float]:
+        async with running(ScriptedServer(hit)) as (harness, director):
             front = director.front
             burst = front.connection_limit + 2 * SPARE_CONNECTIONS
-            crowd = [socket.create_connection(front.address) for _ in range(burst)]
-            began_s = time.monotonic()
-            status, _, _ = await world.fetch()
-            took_s = time.monotonic() - began_s
-            for client in crowd:
+            clients = [socket.create_connection(front.address) for _ in range(burst)]
+            start_s = time.monotonic()
+            status, _, _ = await harness.fetch()
+            duration_s = time.monotonic() - start_s
+            for client in clients:
                 client.close()
-            return status, took_s
+            return status, duration_s
 
-    status, took_s = asyncio.run(story())
+    status, duration_s = asyncio.run(scenario())
     assert status == 200
-    assert took_s < MAX_WAIT_S
+    assert duration_s < MAX_WAIT_S
 
 
-async def connected(director: Director) -> tuple[socket.socket, ClientConnection]:
-    """A client's connection from both sides."""
+async def connect_client(director: Director) -> tuple[socket.socket, ClientConnection]:
+    """Connects a client and returns both sides of its connection."""
     client = socket.create_connection(director.front.address)
     await wait_until(lambda: len(director.front.connections) == 1)
     return client, next(iter(director.front.connections))
 
 
 @pytest.mark.parametrize("end", ["evict", "shut_down"])
-def test_a_client_sees_the_end_of_its_connection_in_the_moment_in_which_it_is_decided(end: str) -> None:
-    """Guards against requests that come between the decision to close and the close, and get no answer."""
+def test_a_client_sees_the_end_of_its_connection_at_once_after_the_decision(end: str) -> None:
+    """Guards against requests without response, sent between the decision to close and the close."""
 
-    async def story() -> bytes:
+    async def scenario() -> bytes:
         async with running(ScriptedServer(hit)) as (_, director):
-            client, connection = await connected(director)
+            client, connection = await connect_client(director)
             if end == "evict":
                 connection.evict("made_room")
             else:
                 connection.shut_down()
-            client.setblocking(False)  # the loop has not turned: without an end this raises
+            client.setblocking(False)  # in the same event-loop iteration: raises if the end was not sent
             received = client.recv(1)
             client.close()
             return received
 
-    assert asyncio.run(story()) == b""
+    assert asyncio.run(scenario()) == b""
 
 
-def test_an_answer_that_is_late_by_less_than_counts_is_not_cut_to_make_room() -> None:
-    """Guards against a late answer that is cut by eviction for room once its client's time is up."""
+def test_a_response_within_the_allowed_lateness_is_not_cut_by_an_eviction() -> None:
+    """Guards against an eviction that cuts a response shortly after the client's deadline."""
 
-    async def story() -> list[bool]:
+    async def scenario() -> list[bool]:
         async with running(ScriptedServer(hit)) as (_, director):
-            client, connection = await connected(director)
+            client, connection = await connect_client(director)
             client.send(encode_request("/invoke/lot-page/a1?nth=0"))
             await wait_until(lambda: connection.client_deadline_ms > 0.0 and connection.open_number is None)
             assert connection.transport is not None
@@ -77,4 +77,4 @@
             client.close()
             return sending
 
-    assert asyncio.run(story()) == [True, False]
+    assert asyncio.run(scenario()) == [True, False]
