--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -22,7 +22,7 @@
 
 from .program import DirectorProgram, start_program
 from .server_scripts import BYTES
-from .test_whole_answers import Answer, ask
+from .test_whole_answers import ClientResponse, fetch_response
 
 SOCKET_KINDS = (
     FaultKind.ACCEPT, FaultKind.SOCKET, FaultKind.CONNECT, FaultKind.WAIT, FaultKind.READ, FaultKind.WRITE,
@@ -48,8 +48,8 @@
 class Outcome:
     """What clients got while calls failed and after it, and what was injected."""
 
-    during: list[Answer]
-    after: list[Answer]
+    during: list[ClientResponse]
+    after: list[ClientResponse]
     injected: list[str]
     exit_code: int | None
 
@@ -92,10 +92,10 @@
     ends_s = schedule.epoch_ns / 1e9 + FAULT_ENDS_MS / 1_000.0
     await asyncio.sleep(max(0.0, begins_s - loop.time() - LEAD_S))
 
-    async def client() -> list[Answer]:
+    async def client() -> list[ClientResponse]:
         answers = []
         while loop.time() < ends_s:
-            answers.append(await ask(address, WAIT_MS))
+            answers.append(await fetch_response(address, WAIT_MS))
             await asyncio.sleep(0.01)
         return answers
 
@@ -103,7 +103,7 @@
         answer for answers in await asyncio.gather(*(client() for _ in range(CLIENTS))) for answer in answers
     ]
     await asyncio.sleep(0.5)  # what was ejected for a fault comes back
-    after = [await ask(address, WAIT_MS) for _ in range(3)]
+    after = [await fetch_response(address, WAIT_MS) for _ in range(3)]
     director.send(signal.SIGTERM)
     exit_code, _ = await director.finish()
     coordinator.stop()
@@ -120,7 +120,7 @@
     outcome = asyncio.run(play(tmp_path, library, (fault,)))
     assert outcome.injected, "the fault did not reach the process"
     assert outcome.during
-    assert all(answer.is_whole and answer.status in (200, 502, 503) for answer in outcome.during)
+    assert all(answer.is_complete and answer.status in (200, 502, 503) for answer in outcome.during)
     assert all(answer.body == (BYTES if answer.status == 200 else b"") for answer in outcome.during)
     assert [answer.status for answer in outcome.after] == [200] * 3
     assert outcome.exit_code == 0
@@ -133,7 +133,7 @@
     step = SyscallFault(FAULT_BEGINS_MS, 600_000, FaultKind.CLOCK_STEP, step_ms)
     outcome = asyncio.run(play(tmp_path, library, (step,)))
     answers = outcome.during + outcome.after
-    assert [(answer.is_whole, answer.status) for answer in answers] == [(True, 200)] * len(answers)
+    assert [(answer.is_complete, answer.status) for answer in answers] == [(True, 200)] * len(answers)
     assert outcome.exit_code == 0
 
 
@@ -144,7 +144,7 @@
     async def hang(request: ReceivedRequest) -> None:
         await asyncio.Event().wait()
 
-    async def story() -> tuple[Answer, int | None, float]:
+    async def story() -> tuple[ClientResponse, int | None, float]:
         coordinator, cache = await Coordinator().start(), await ScriptedServer(hang).start()
         config_file = tmp_path / "director.json"
         config_file.write_text(json.dumps(config_for([cache], coordinator)), encoding="utf-8")
@@ -153,7 +153,7 @@
         director: DirectorProgram = await start_program(config_file, environ=schedule.environment(library))
         address = tuple((await director.event("serving"))["listen"])
         loop = asyncio.get_running_loop()
-        open_request = asyncio.ensure_future(ask(address, 3_000.0))
+        open_request = asyncio.ensure_future(fetch_response(address, 3_000.0))
         await asyncio.sleep(max(0.0, schedule.epoch_ns / 1e9 + 1.3 - loop.time()))
         director.send(signal.SIGTERM)
         stopped_s = loop.time()
@@ -164,5 +164,5 @@
         return answer, exit_code, loop.time() - stopped_s
 
     answer, exit_code, took_s = asyncio.run(story())
-    assert (answer.is_whole, exit_code) == (True, 0)
+    assert (answer.is_complete, exit_code) == (True, 0)
     assert took_s < 3.7  # SIGKILL comes no sooner
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -27,12 +27,12 @@
 
 
 @dataclass
-class Answer:
-    """What a client read of an answer; `is_whole` once its end was parsed."""
+class ClientResponse:
+    """What a client read of an answer; `is_complete` once its end was parsed."""
 
     status: int = 0
     body: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
     has_more: bool = False  # bytes after its end
 
 
@@ -40,7 +40,7 @@
     """Parses one answer as a client does (RFC 9112, section 6)."""
 
     def __init__(self) -> None:
-        self.answer = Answer()
+        self.answer = ClientResponse()
         self.parser = httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
@@ -50,24 +50,24 @@
         self.answer.body += body
 
     def on_message_begin(self) -> None:
-        self.answer.has_more = self.answer.is_whole
+        self.answer.has_more = self.answer.is_complete
 
     def on_message_complete(self) -> None:
-        self.answer.is_whole = True
+        self.answer.is_complete = True
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_answer(reader: asyncio.StreamReader) -> ClientResponse:
     """Reads up to an answer's end or the connection's."""
     parser = AnswerParser()
     try:
-        while not parser.answer.is_whole and (data := await reader.read(65_536)):
+        while not parser.answer.is_complete and (data := await reader.read(65_536)):
             parser.parser.feed_data(data)
     except ConnectionError:
         pass
     return parser.answer
 
 
-async def ask(address: tuple[str, int], wait_ms: float = SHORT_WAIT_MS) -> Answer:
+async def fetch_response(address: tuple[str, int], wait_ms: float = SHORT_WAIT_MS) -> ClientResponse:
     """One request on a connection of its own; fails if its answer comes after the time that counts."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -142,15 +142,15 @@
 
 @pytest.mark.parametrize("script", BROKEN)
 def test_a_broken_response_ends_in_one_whole_answer(script: Script) -> None:
-    async def story() -> Answer:
+    async def story() -> ClientResponse:
         async with running(ScriptedServer(script)) as (_, director):
-            answer = await ask(director.front.address)
+            answer = await fetch_response(director.front.address)
             assert director.exchange.unanswered_count == 0
             assert director.counters["answers.cut"] == 0
             return answer
 
     answer = asyncio.run(story())
-    assert answer.is_whole
+    assert answer.is_complete
     assert not answer.has_more
     assert answer.status in (200, 502, 503)
     assert answer.body == (BYTES if answer.status == 200 else b"")
@@ -158,25 +158,27 @@
 
 @pytest.mark.parametrize("script", BREAKING_OFF)
 def test_another_cache_answers_for_one_that_breaks_off(script: Script) -> None:
-    async def story() -> Answer:
+    async def story() -> ClientResponse:
         bad, good = ScriptedServer(script), ScriptedServer(hit, "c2", capacity=1e-6)
         async with running(bad, good) as (_, director):
-            return await ask(director.front.address, 3_000.0)
+            return await fetch_response(director.front.address, 3_000.0)
 
-    assert asyncio.run(story()) == Answer(200, BYTES, is_whole=True)
+    assert asyncio.run(story()) == ClientResponse(200, BYTES, is_complete=True)
 
 
 def test_a_process_gives_whole_answers_at_deadlines_and_at_its_stop(tmp_path: Path) -> None:
     """Real sockets and signals: bodies that stall, before and within a shutdown."""
 
-    async def story() -> list[Answer]:
+    async def story() -> list[ClientResponse]:
         coordinator, cache = await Coordinator().start(), await ScriptedServer(stall).start()
         config_file = tmp_path / "director.json"
         config_file.write_text(json.dumps(config_for([cache], coordinator)), encoding="utf-8")
         director = await start_program(config_file)
         address = tuple((await director.event("serving"))["listen"])
-        answers = [await ask(address) for _ in range(3)]
-        open_requests = [asyncio.ensure_future(ask(address, wait_ms)) for wait_ms in (300.0, 3_000.0)]
+        answers = [await fetch_response(address) for _ in range(3)]
+        open_requests = [
+            asyncio.ensure_future(fetch_response(address, wait_ms)) for wait_ms in (300.0, 3_000.0)
+        ]
         while len(cache.received) < 5:
             await asyncio.sleep(0.01)
         director.send(signal.SIGTERM)
@@ -186,23 +188,23 @@
         cache.stop()
         return answers
 
-    assert [answer.is_whole for answer in asyncio.run(story())] == [True] * 5
+    assert [answer.is_complete for answer in asyncio.run(story())] == [True] * 5
 
 
 def test_a_slow_reader_gets_its_answer_whole_and_holds_nobody_up() -> None:
     async def large(request: ReceivedRequest) -> None:
         await request.answer(200, bytes(240_000))
 
-    async def story() -> tuple[Answer, Answer]:
+    async def story() -> tuple[ClientResponse, ClientResponse]:
         async with DirectorHarness([ScriptedServer(large)]) as world:
             assert world.director is not None
             reader, writer = await asyncio.open_connection(*world.director.front.address, limit=1024)
             writer.write(encode_request(PATH))
             await asyncio.sleep(0.1)
-            other = await ask(world.director.front.address, 3_000.0)
+            other = await fetch_response(world.director.front.address, 3_000.0)
             slow = await read_answer(reader)
             writer.close()
             return slow, other
 
     for answer in asyncio.run(story()):
-        assert answer == Answer(200, bytes(240_000), is_whole=True)
+        assert answer == ClientResponse(200, bytes(240_000), is_complete=True)
