--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""`python -m gladewalk` as a process, as the platform starts it, with its log read line by line."""
+"""Runs `python -m gladewalk` as a process, as the platform does, and reads its log line by line."""
 
 import asyncio
 import json
@@ -23,18 +23,18 @@
 
     @property
     def log(self) -> asyncio.StreamReader:
-        """The log, not read yet."""
+        """The unread part of the log."""
         assert self.process.stderr is not None
         return self.process.stderr
 
     async def event(self, name: str) -> dict[str, Any]:
-        """Reads the log up to the next event of this name."""
+        """Reads the log up to the next event with this name and returns that event."""
         while (line := json.loads(await self.log.readline()))["event"] != name:
             pass
         return dict(line)
 
     def send(self, *signals: signal.Signals) -> None:
-        """Sends signals, one after another."""
+        """Sends signals to the process, one after another."""
         for number in signals:
             self.process.send_signal(number)
 
@@ -44,29 +44,29 @@
         return self.process.returncode, rest.decode().splitlines()
 
     async def stop(self) -> int | None:
-        """Ends it by SIGTERM; returns its exit code."""
+        """Sends SIGTERM and waits for the process to end; returns its exit code."""
         self.send(signal.SIGTERM)
         return (await self.finish())[0]
 
 
 async def start_program(
     config_file: Path | str,
-    *words: str,
+    *arguments: str,
     listener_fd: int | None = None,
     environ: Mapping[str, str] | None = None,
 ) -> DirectorProgram:
-    """Starts a director with this file as `NODE_CONFIG`; a listener given is its descriptor 3 (`NODE_FD`)."""
+    """Starts a director with this file as `NODE_CONFIG` and a given listener as descriptor 3 (`NODE_FD`)."""
     environ = {**(environ or os.environ), "NODE_CONFIG": str(config_file)}
-    hand_over = None
+    pass_listener = None
     if listener_fd is not None:
         environ["NODE_FD"] = str(INHERITED_FD)
 
-        def hand_over() -> None:
+        def pass_listener() -> None:
             os.dup2(listener_fd, INHERITED_FD)
 
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "gladewalk", *words,
+        sys.executable, "-m", "gladewalk", *arguments,
         cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE,
-        close_fds=listener_fd is None, preexec_fn=hand_over,
+        close_fds=listener_fd is None, preexec_fn=pass_listener,
     )  # fmt: skip
     return DirectorProgram(process)
--- a/tests/test_golden_exchange.py
+++ b/tests/test_golden_exchange.py
@@ -1,8 +1,8 @@
-"""The feed, client and cache protocols byte for byte, and the names in the log, as version 090a370 has them.
+"""The bytes of the feed, client and cache protocols and the names in the log are those of version 090a370.
 
-The data in `golden/exchange_*.json` was written by that version; what is read and written now is equal. One
-log event, which no page names, has another name since: `listen_address_needs_restart` was "another address to
-listen at is taken up at a restart".
+The data in `golden/exchange_*.json` was written by that version. One log event, which no page of the
+documentation names, has been renamed since: `listen_address_needs_restart` was "another address to listen at
+is taken up at a restart".
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 
 
 class RecordingExchange:
-    """Keeps the interface events that lines of the feed are parsed into."""
+    """Records the interface events that lines of the feed are parsed into."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -62,22 +62,22 @@
         self.events.append(["purge", event.key, event.group, event.age_ms])
 
 
-def target(uid: str, **more: Any) -> dict[str, Any]:
+def target(uid: str, **overrides: Any) -> dict[str, Any]:
     entry = {"uid": uid, "endpoint": f"10.0.0.1:80{uid[1:]}", "az": "edge-1", "model": "standard"}
-    return {**entry, "pod_group": 2, "state": "SERVING", "capacity_hint": 4, "boot_ms": 12.5, **more}
+    return {**entry, "pod_group": 2, "state": "SERVING", "capacity_hint": 4, "boot_ms": 12.5, **overrides}
 
 
-def endpoints(*targets: Any, whole: Any = False) -> dict[str, Any]:
-    return {"endpoints": {"rev": 1, "all": whole, "targets": list(targets)}}
+def endpoints(*targets: Any, full: Any = False) -> dict[str, Any]:
+    return {"endpoints": {"rev": 1, "all": full, "targets": list(targets)}}
 
 
 FEED_LINES: list[bytes] = [
     line if isinstance(line, bytes) else json.dumps(line).encode()
     for line in [
-        {"index": 1, **endpoints(target("c1"), target("c2", model="parent"), whole=True)},
+        {"index": 1, **endpoints(target("c1"), target("c2", model="parent"), full=True)},
         {"index": 2, **endpoints(target("c1", state="DRAINING"), {"uid": "c3", "endpoint": "[::1]:81", "state": "SERVING"})},  # noqa: E501
         {"index": 3, **endpoints({"uid": "c2", "state": "DELETED"})},
-        {"index": 4, **endpoints(target("c4", model="origin", capacity_hint=None, boot_ms=None), whole=True)},
+        {"index": 4, **endpoints(target("c4", model="origin", capacity_hint=None, boot_ms=None), full=True)},
         {"index": 4, **endpoints(target("c9"))},
         b"4",
         b"  4 ",
@@ -92,10 +92,10 @@
         b"[]",
         b'{"index":true}',
         b'{"index":"9"}',
-        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), whole=True)},
-        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), whole=True)},
-        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), whole=True)},
-        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), whole=True)},
+        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), full=True)},
+        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), full=True)},
+        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), full=True)},
+        {"index": 9, **endpoints(target("c6"), target("c7", state="NAPPING"), full=True)},
         {"index": 10, "evict": {"ref": "xyz", "unix_ms": NOW_MS}},
         {"index": 10, "evict": {"ref": "b2", "unix_ms": NOW_MS}},
     ]
@@ -103,16 +103,16 @@
 
 
 def read_feed() -> dict[str, Any]:
-    """Every line with its result, the last number known then, and the interface events that came of it."""
+    """Returns for each line its result, the last index after it and the interface events it caused."""
     exchange, counters = RecordingExchange(), Counters()
     config = read_config({**config_for([], Coordinator(address="127.0.0.1:1")), "known": None}, {})
     feed = EndpointFeed(cast(Exchange, exchange), config, lambda: NOW_MS, counters)
-    steps: list[Any] = []
+    results: list[Any] = []
     for line in FEED_LINES:
-        good = feed.read_line(line)
-        steps.append([line.decode(), good, feed.last_index, exchange.events])
+        is_valid = feed.read_line(line)
+        results.append([line.decode(), is_valid, feed.last_index, exchange.events])
         exchange.events = []
-    return {"steps": steps, "counters": dict(counters)}
+    return {"steps": results, "counters": dict(counters)}
 
 
 class FeedTransport:
@@ -145,7 +145,7 @@
     assert json.loads(json.dumps(read_feed())) == golden("feed")
 
 
-def test_the_coordinator_is_asked_in_the_same_words() -> None:
+def test_the_coordinator_is_sent_the_same_follow_line() -> None:
     assert follow_line() == golden("follow")
 
 
@@ -162,22 +162,22 @@
 
 
 def requests_to_caches() -> list[str]:
-    """The bytes of a lookup, of fetches of every form, of a conditional request and of a write."""
-    read_ask = ClientRequest("9b1f03aa5c7e2d41", "GET", "lot-page", "7F3a", 0x7F3A, 3, 3000.0)
+    """Returns the bytes of a lookup, of fetches of every form, of a conditional request and of a write."""
+    read = ClientRequest("9b1f03aa5c7e2d41", "GET", "lot-page", "7F3a", 0x7F3A, 3, 3000.0)
     conditional = ClientRequest("00c0ffee00c0ffee", "GET", "lot-page", "a1", 0xA1, 0, 3000.0, etag="4be0")
     write = ClientRequest(
         "9b1f03aa5c7e2d41", "PUT", "bid", "b1", 0xB1, 0, 3000.0, body=b"12 boxes", idempotency_key="k;1",
         is_retry=True,
     )  # fmt: skip
-    orders: list[tuple[ClientRequest, api.Lookup | api.Fetch]] = [
-        (ask, api.Lookup(1, "c1")) for ask in (read_ask, conditional, write)
+    decisions: list[tuple[ClientRequest, api.Lookup | api.Fetch]] = [
+        (client_request, api.Lookup(1, "c1")) for client_request in (read, conditional, write)
     ]
-    orders += [(read_ask, api.Fetch(1, "c1", **{"source": "c1", **fetch})) for fetch in FETCHES]
-    orders += [(conditional, api.Fetch(1, "c1", "p1")), (write, api.Fetch(1, "o", "o", cache_rank=0))]
+    decisions += [(read, api.Fetch(1, "c1", **{"source": "c1", **fetch})) for fetch in FETCHES]
+    decisions += [(conditional, api.Fetch(1, "c1", "p1")), (write, api.Fetch(1, "o", "o", cache_rank=0))]
     written = []
-    for ask, order in orders:
-        taken = OpenRequest(1, ask, cast(Any, None), NOW_MS, NOW_MS + 3000.0)
-        attempt = Attempt(taken, 0, order, NOW_MS, NOW_MS + 2500.4)
+    for client_request, decision in decisions:
+        opened = OpenRequest(1, client_request, cast(Any, None), NOW_MS, NOW_MS + 3000.0)
+        attempt = Attempt(opened, 0, decision, NOW_MS, NOW_MS + 2500.4)
         written += [encode_attempt(attempt, now_ms).decode() for now_ms in (NOW_MS, NOW_MS + 9000.0)]
     return written
 
@@ -186,33 +186,33 @@
     assert requests_to_caches() == golden("requests")
 
 
-# Answers to clients.
+# Responses to clients.
 
 
-async def chunked(heard: ReceivedRequest) -> None:
-    heard.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTag: 4be0\r\n\r\n")
-    heard.writer.write(b"3\r\nabc\r\n")
-    await heard.writer.drain()
-    heard.writer.write(b"0\r\n\r\n")
+async def chunked(request: ReceivedRequest) -> None:
+    request.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTag: 4be0\r\n\r\n")
+    request.writer.write(b"3\r\nabc\r\n")
+    await request.writer.drain()
+    request.writer.write(b"0\r\n\r\n")
 
 
-async def short(heard: ReceivedRequest) -> None:
-    await heard.answer(200, b"abc", Tag="4be0")
+async def small(request: ReceivedRequest) -> None:
+    await request.answer(200, b"abc", Tag="4be0")
 
 
-async def bare(heard: ReceivedRequest) -> None:
-    await heard.answer(200, b"abc")
+async def without_tag(request: ReceivedRequest) -> None:
+    await request.answer(200, b"abc")
 
 
-async def unchanged(heard: ReceivedRequest) -> None:
-    await heard.answer(304, Tag="4be0")
+async def unchanged(request: ReceivedRequest) -> None:
+    await request.answer(304, Tag="4be0")
 
 
 EXCHANGES: dict[str, tuple[Any, dict[str, Any], list[bytes]]] = {
-    "200": (short, {}, [encode_request(PATH)]),
-    "200 without a tag": (bare, {}, [encode_request(PATH)]),
+    "200": (small, {}, [encode_request(PATH)]),
+    "200 without a tag": (without_tag, {}, [encode_request(PATH)]),
     "200 chunked": (chunked, {}, [encode_request(PATH)]),
-    "200 and the last": (short, {}, [encode_request(PATH, Connection="close")]),
+    "200 and the last": (small, {}, [encode_request(PATH, Connection="close")]),
     "304": (unchanged, {}, [encode_request(PATH, If_None_Match='W/"4be0"')]),
     "refused": (hit, {"state": "DRAINING"}, [encode_request(PATH)]),
     "failed": (silent, {}, [encode_request(PATH, wait_ms=150.0)]),
@@ -231,7 +231,7 @@
     "413": (hit, {}, [encode_request("/invoke/bid/b1", method="PUT", body=b"x" * 70_000)]),
     "431": (hit, {}, [encode_request(PATH + "&x=" + "y" * 20_000)]),
     "several": (
-        short,
+        small,
         {},
         [
             encode_request(PATH),
@@ -248,103 +248,103 @@
 }
 
 
-async def answers_of(world: DirectorHarness, asked: list[bytes]) -> str:
-    """All that comes back on one connection, until as many answers have come as were asked for."""
-    reader, writer = await world.connect()
-    writer.write(b"".join(asked))
-    told = b""
+async def exchange_bytes(harness: DirectorHarness, requests: list[bytes]) -> str:
+    """Returns all bytes received on one connection, up to as many responses as there are requests."""
+    reader, writer = await harness.connect()
+    writer.write(b"".join(requests))
+    received = b""
     try:
-        for _ in asked:
+        for _ in requests:
             head = await reader.readuntil(b"\r\n\r\n")
-            told += head
+            received += head
             if b"Transfer-Encoding" in head:
-                told += await reader.readuntil(b"0\r\n\r\n")
+                received += await reader.readuntil(b"0\r\n\r\n")
             elif length := re.search(rb"Content-Length: (\d+)", head):
-                told += await reader.readexactly(int(length[1]))
+                received += await reader.readexactly(int(length[1]))
     except asyncio.IncompleteReadError as error:
-        told += error.partial + b"<end>"
+        received += error.partial + b"<end>"
     except ConnectionError:
-        told += b"<reset>"
+        received += b"<reset>"
     writer.close()
-    return told.decode("latin-1")
+    return received.decode("latin-1")
 
 
-async def answer_to(name: str) -> str:
-    script, more, asked = EXCHANGES[name]
-    async with DirectorHarness([ScriptedServer(script, **more)]) as world:
-        await wait_until(lambda: world.director is not None and world.director.readiness.is_synced)
-        return await answers_of(world, asked)
+async def response_to(name: str) -> str:
+    script, overrides, requests = EXCHANGES[name]
+    async with DirectorHarness([ScriptedServer(script, **overrides)]) as harness:
+        await wait_until(lambda: harness.director is not None and harness.director.readiness.is_synced)
+        return await exchange_bytes(harness, requests)
 
 
-async def answer_before_the_feed() -> str:
-    """A health check's answer while the coordinator has not said anything yet."""
-    answering = asyncio.Event()
-    async with DirectorHarness([], coordinator=Coordinator(may_answer=answering)) as world:
-        answer = await answers_of(world, [encode_request("/_health")])
-        answering.set()
-        await wait_until(lambda: world.director is not None and world.director.readiness.is_synced)
-        return answer
+async def health_before_the_feed() -> str:
+    """Returns a health check's response before the coordinator has sent anything."""
+    may_respond = asyncio.Event()
+    async with DirectorHarness([], coordinator=Coordinator(may_answer=may_respond)) as harness:
+        response = await exchange_bytes(harness, [encode_request("/_health")])
+        may_respond.set()
+        await wait_until(lambda: harness.director is not None and harness.director.readiness.is_synced)
+        return response
 
 
-async def refusals(hold_off: bool) -> list[str]:
-    """Refusals, each with the time after which the module says that it is worth coming back."""
-    told = []
-    async with DirectorHarness([ScriptedServer(hit)]) as world:
-        assert world.director is not None
-        exchange, front = world.director.exchange, world.director.front
+async def rejections(hold_off: bool) -> list[str]:
+    """Returns rejections, each for another time after which the module advises to retry."""
+    received = []
+    async with DirectorHarness([ScriptedServer(hit)]) as harness:
+        assert harness.director is not None
+        exchange, front = harness.director.exchange, harness.director.front
         front.sends_hold_off = hold_off
         for retry_after_ms in (0.0, 0.4, 140.0, 999.5, 1000.0, 2300.7):
 
-            def refuse(now_ms: float, event: api.Event, wait_ms: float = retry_after_ms) -> list[api.Action]:
+            def reject(now_ms: float, event: api.Event, wait_ms: float = retry_after_ms) -> list[api.Action]:
                 return [api.Reject(event.id, wait_ms)] if isinstance(event, api.Request) else []
 
-            exchange.dispatcher.handle = refuse  # type: ignore[method-assign]
-            told.append(await answers_of(world, [encode_request(PATH)]))
-    return told
+            exchange.dispatcher.handle = reject  # type: ignore[method-assign]
+            received.append(await exchange_bytes(harness, [encode_request(PATH)]))
+    return received
 
 
 @pytest.mark.parametrize("name", EXCHANGES)
-def test_clients_get_the_same_answers(name: str) -> None:
-    assert asyncio.run(answer_to(name)) == golden("answers")[name]
+def test_clients_get_the_same_responses(name: str) -> None:
+    assert asyncio.run(response_to(name)) == golden("answers")[name]
 
 
-def test_a_health_check_before_the_feed_gets_the_same_answer() -> None:
-    assert asyncio.run(answer_before_the_feed()) == golden("unready")
+def test_a_health_check_before_the_feed_gets_the_same_response() -> None:
+    assert asyncio.run(health_before_the_feed()) == golden("unready")
 
 
 @pytest.mark.parametrize("hold_off", [False, True])
-def test_refused_clients_get_the_same_advice(hold_off: bool) -> None:
-    assert asyncio.run(refusals(hold_off)) == golden("refusals")[str(hold_off)]
+def test_rejected_clients_get_the_same_retry_advice(hold_off: bool) -> None:
+    assert asyncio.run(rejections(hold_off)) == golden("refusals")[str(hold_off)]
 
 
 # Names in the log.
 
 
-async def story() -> dict[str, Any]:
-    """What a director writes to its log over a short life, and the names in its line of counters."""
+async def log_events() -> dict[str, Any]:
+    """Returns the log events of a short run with their fields, which for `counters` are the counters."""
     cache, parent = ScriptedServer(miss_then_fill), ScriptedServer(hit, "p1", "parent", "north")
     with structlog.testing.capture_logs() as lines:
-        async with DirectorHarness([cache, parent]) as world:
-            director = world.director
+        async with DirectorHarness([cache, parent]) as harness:
+            director = harness.director
             assert director is not None
             await wait_until(lambda: director.readiness.is_synced)
-            assert (await world.fetch(PATH))[2] == BYTES
+            assert (await harness.fetch(PATH))[2] == BYTES
             for path in ("/elsewhere", "/invoke/lot-page/xyz", "/invoke/bid/a1"):
-                await world.fetch(path)
-            world.coordinator.publish(evict={"ref": "a1", "unix_ms": 1.0})
+                await harness.fetch(path)
+            harness.coordinator.publish(evict={"ref": "a1", "unix_ms": 1.0})
             await wait_until(lambda: director.endpoint_feed.last_index == 2)
-            world.coordinator.disconnect()
-            await wait_until(lambda: len(world.coordinator.followed_from) == 2)
-            raw = config_for([cache, parent], world.coordinator)
+            harness.coordinator.disconnect()
+            await wait_until(lambda: len(harness.coordinator.followed_from) == 2)
+            raw = config_for([cache, parent], harness.coordinator)
             director.apply(read_config({**raw, "listen": "127.0.0.1:1"}, {}))
             director.reload()
             director.report()
             director.stop()
             for state in ("DRAINING", "DRAINING"):
                 cache.state = parent.state = state
-            world.coordinator.publish_endpoints(cache, parent)
+            harness.coordinator.publish_endpoints(cache, parent)
             await wait_until(lambda: director.endpoint_feed.last_index == 3)
-            reader, writer = await world.connect()
+            reader, writer = await harness.connect()
             writer.write(encode_request(PATH))
             await read_message(reader)
             writer.close()
@@ -359,4 +359,4 @@
 
 def test_the_log_has_the_same_events_fields_and_counters(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("NODE_CONFIG", "")
-    assert asyncio.run(story()) == golden("log")
+    assert asyncio.run(log_events()) == golden("log")
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""What one part's failure must not cost the others: a log that stands still, a failed call, a bad name."""
+"""A failure in one part must not affect others: a blocked log, a failed call, an invalid host name."""
 
 import asyncio
 import json
@@ -21,8 +21,8 @@
 from .server_scripts import BYTES, ROOT, hit
 
 
-def filled() -> tuple[int, int]:
-    """A pipe that nobody reads and that takes no byte more, reading end first."""
+def full_pipe() -> tuple[int, int]:
+    """Returns the reading and the writing end of a full pipe that nobody reads."""
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     try:
@@ -33,11 +33,11 @@
     return reading, writing
 
 
-class Logs(unittest.IsolatedAsyncioTestCase):
-    async def test_a_log_that_stands_still_holds_nothing_up(self) -> None:
+class LogOutput(unittest.IsolatedAsyncioTestCase):
+    async def test_a_blocked_log_delays_no_request_and_no_shutdown(self) -> None:
         cache, coordinator = await ScriptedServer(hit).start(), await Coordinator().start()
         listener = socket.create_server(("127.0.0.1", 0))
-        reading, writing = filled()
+        reading, writing = full_pipe()
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
             path.write_text(json.dumps(config_for([cache], coordinator)))
@@ -59,16 +59,16 @@
         cache.stop()
         coordinator.stop()
 
-    def test_lines_are_whole_or_counted_as_lost(self) -> None:
+    def test_log_lines_are_complete_or_counted_as_dropped(self) -> None:
         reading, writing = os.pipe()
         log = NonBlockingLog(writing)
         log.write("one\n")
         self.assertEqual(os.read(reading, 100), b"one\n")
         os.close(reading)
-        log.write("two\n")  # its reader has gone
+        log.write("two\n")  # the reading end is closed
         self.assertEqual(log.dropped_lines, 1)
         os.close(writing)
-        reading, writing = filled()
+        reading, writing = full_pipe()
         log = NonBlockingLog(writing)
         log.write("three\n")
         self.assertEqual(log.dropped_lines, 1)
@@ -76,46 +76,46 @@
         os.close(writing)
 
 
-class Calls(unittest.TestCase):
-    def test_a_call_that_fails_costs_no_other_its_time(self) -> None:
+class DeadlineCalls(unittest.TestCase):
+    def test_a_failed_call_does_not_delay_other_calls(self) -> None:
         armed: list[float] = []
         deadlines = Deadlines(armed.append)
         ran: list[str] = []
 
-        def fails() -> None:
+        def fail() -> None:
             raise RuntimeError
 
-        deadlines.add(10.0, fails)
-        deadlines.add(11.0, lambda: ran.append("same turn"))
+        deadlines.add(10.0, fail)
+        deadlines.add(11.0, lambda: ran.append("same sweep"))
         deadlines.add(50.0, lambda: ran.append("later"))
         armed.clear()
         with self.assertRaises(RuntimeError):
             deadlines.sweep(20.0)
-        self.assertEqual(armed, [11.0])  # the timer is armed for what is left
+        self.assertEqual(armed, [11.0])  # the timer is armed for the remaining calls
         deadlines.sweep(20.0)
         deadlines.sweep(50.0)
-        self.assertEqual(ran, ["same turn", "later"])
+        self.assertEqual(ran, ["same sweep", "later"])
 
 
-class Names(unittest.IsolatedAsyncioTestCase):
-    def test_a_host_that_can_not_be_looked_up_is_no_address(self) -> None:
+class HostNames(unittest.IsolatedAsyncioTestCase):
+    def test_a_host_name_that_cannot_be_looked_up_is_rejected(self) -> None:
         for text in ("a..b:80", "a" * 70 + ".example:80", "a\0b:80"):
             with self.assertRaises(ConfigError):
                 read_address(text)
         self.assertEqual(read_address("[::1]:80"), ("::1", 80))
 
-    async def test_a_dial_of_a_bad_name_is_a_failed_one_and_the_feed_goes_on(self) -> None:
-        async with DirectorHarness([ScriptedServer(hit)]) as world:
-            director = world.director
+    async def test_a_connect_to_an_invalid_name_fails_and_the_feed_continues(self) -> None:
+        async with DirectorHarness([ScriptedServer(hit)]) as harness:
+            director = harness.director
             assert director is not None
-            watch, good = director.coordinator_watch, director.coordinator_watch.address
-            await wait_until(lambda: len(world.coordinator.followed_from) == 1)
+            watch, valid_address = director.coordinator_watch, director.coordinator_watch.address
+            await wait_until(lambda: len(harness.coordinator.followed_from) == 1)
             watch.set_address(("a..b", 80))
             await wait_until(lambda: director.counters["coordinator.connects"] >= 3)
-            watch.address = good
-            await wait_until(lambda: len(world.coordinator.followed_from) == 2)
+            watch.address = valid_address
+            await wait_until(lambda: len(harness.coordinator.followed_from) == 2)
             director.connection_pool.servers["c1"].address = ("a..b", 80)
-            status, _, _ = await world.fetch()
+            status, _, _ = await harness.fetch()
             self.assertEqual(status, 503)
             self.assertEqual(director.counters["caches.connects_failed"] > 0, True)
             self.assertFalse(director.connection_pool.opener.opening)
