--- a/gladewalk/core/readiness.py
+++ b/gladewalk/core/readiness.py
@@ -20,7 +20,7 @@
 """Final answers are due this long before SIGKILL, so that they can be sent and the process can exit."""
 
 MAX_SYNC_WAIT_MS = 1_000.0
-"""After the start, the director waits at most this long for the coordinator's first endpoint list."""
+"""After the start, the director waits at most this long for the coordinator's first lines."""
 
 
 def shutdown_deadline_ms(sigterm_ms: float, longest_deadline_ms: float) -> float:
@@ -39,7 +39,7 @@
 
     Attributes:
         is_started: The director accepts and serves requests.
-        is_synced: The coordinator has sent its first events, or `MAX_SYNC_WAIT_MS` has passed without any.
+        is_synced: The coordinator has sent its first lines, or `MAX_SYNC_WAIT_MS` has passed without any.
         drain_since_ms: When the current drain began; None without a drain.
         is_stopping: SIGTERM was received; never becomes false again.
     """
--- a/gladewalk/net/coordinator.py
+++ b/gladewalk/net/coordinator.py
@@ -122,7 +122,7 @@
         return connection is self.connection
 
     def notify_synced(self) -> None:
-        """Calls `on_synced` once, after the coordinator's first events have been applied."""
+        """Calls `on_synced` once, when all events that the coordinator had at the start have been applied."""
         if self.on_synced is not None:
             call, self.on_synced = self.on_synced, None
             call()
