--- a/gladewalk/net/clients.py
+++ b/gladewalk/net/clients.py
@@ -148,7 +148,7 @@
             pass
 
     def _evict_one(self) -> bool:
-        """Evicts the connection idle the longest without open or unread request; False if there is none."""
+        """Evicts the longest idle connection without an open or unread request; False if there is none."""
         now = self.clock()
         for table, grace_ms in ((self.lingering, 0.0), (self.idle, 0.0), (self.awaiting, EVICTION_GRACE_MS)):
             for connection, since_ms in itertools.islice(table.items(), EVICTION_CANDIDATES):
@@ -166,7 +166,7 @@
             connection.evict(reason)
 
     def _all_accepted(self) -> None:
-        """Closes the listener if the front is closing; earlier would reset connections in its queue."""
+        """Closes the listener if the front is closing; its queue is empty now, so no connection is reset."""
         if self.is_closing:
             self.stop_accepting()
 
