--- a/gladewalk/streams/keep_alive.py
+++ b/gladewalk/streams/keep_alive.py
@@ -1,4 +1,4 @@
-"""Keep-alive of a connection: when to send a PING, and when its server counts as dead."""
+"""Keep-alive of a connection: when to send a PING, and when the connection is considered dead."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class KeepAliveAction(Enum):
-    """What a keep-alive check asks for."""
+    """The action that the owner of a connection must take after a keep-alive check."""
 
     NONE = "none"
     PING = "ping"
-    CLOSE = "close"  # the server counts as dead
+    CLOSE = "close"  # no reply to the PING: the connection is considered dead
 
 
 class KeepAlive:
-    """Detects a dead connection: a PING after silence, and a limit for any reply to it.
+    """Detects a dead connection by a PING after a time without received bytes, and a timeout for the reply.
 
-    Any byte is a sign of life, as a busy server need not answer a PING first. A connection on which no
-    response is outstanding is not checked.
+    Any received byte counts as a reply, because a busy server may send other frames before the PING's
+    acknowledgement. A connection on which no response is outstanding is not checked.
 
     Attributes:
-        ping_after_ms: Silence before a PING is sent.
-        timeout_ms: Silence after the PING before the connection counts as dead.
+        ping_after_ms: How long no byte must have been received before a PING is sent.
+        timeout_ms: How long after the PING the connection is considered dead if no byte is received.
         received_ms: When the last byte was received.
-        pinged_ms: When the PING that waits for its reply was sent; None where none does.
+        pinged_ms: When the PING that awaits its reply was sent; None if no reply is awaited.
     """
 
     def __init__(self, ping_after_ms: float, timeout_ms: float, now_ms: float) -> None:
@@ -32,16 +32,16 @@
         self.pinged_ms: float | None = None
 
     def data_received(self, now_ms: float) -> None:
-        """Records a sign of life."""
+        """Records that bytes were received, which also counts as the reply to a PING."""
         self.received_ms, self.pinged_ms = now_ms, None
 
     def request_sent(self, now_ms: float) -> None:
-        """Starts the time of silence: the server had no reason to send anything before."""
+        """Restarts the time until a PING: before this request the server had no reason to send anything."""
         if self.pinged_ms is None:
             self.received_ms = max(self.received_ms, now_ms)
 
     def check(self, is_outstanding: bool, now_ms: float) -> KeepAliveAction:
-        """Returns what is to be done now; `is_outstanding`: the server owes a response or its settings."""
+        """Returns what to do now; `is_outstanding`: a response or the server's settings are outstanding."""
         if self.pinged_ms is not None:
             is_dead = now_ms - self.pinged_ms >= self.timeout_ms
             return KeepAliveAction.CLOSE if is_dead else KeepAliveAction.NONE
--- a/gladewalk/streams/negotiation.py
+++ b/gladewalk/streams/negotiation.py
@@ -1,4 +1,4 @@
-"""Which protocol a server is offered, by its name and model, and by what it has shown to speak."""
+"""Which protocol is offered to a server, by its name, its model and the protocols it is known to support."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True)
 class Http1Fallback:
-    """A server's fallback to HTTP/1.1, with its reason."""
+    """A server's temporary fallback to HTTP/1.1, with its reason."""
 
     until_ms: float
     reason: str
 
 
 class ProtocolNegotiation:
-    """The offers for all servers; a fallback lasts `http1_fallback_ms`, then HTTP/2 is offered again."""
+    """Chooses each server's offer; a fallback lasts `http1_fallback_ms`, then HTTP/2 is offered again."""
 
     def __init__(self, options: Http2Options) -> None:
         self.options = options
@@ -56,9 +56,9 @@
         return ProtocolOffer.H2C if fallback is None else ProtocolOffer.HTTP1
 
     def fall_back(self, uid: str, reason: str, now_ms: float) -> None:
-        """Records that a server speaks HTTP/1.1: by ALPN, HTTP_1_1_REQUIRED or its reply to our preface."""
+        """Starts a server's fallback, caused by ALPN, HTTP_1_1_REQUIRED or a rejected preface."""
         self.fallbacks[uid] = Http1Fallback(now_ms + self.options.http1_fallback_ms, reason)
 
     def forget(self, uid: str) -> None:
-        """Forgets a server that is removed or has moved: HTTP/2 is offered again."""
+        """Removes the fallback of a server that was removed or has a new address: HTTP/2 is offered again."""
         self.fallbacks.pop(uid, None)
--- a/gladewalk/upstream/connection_factory.py
+++ b/gladewalk/upstream/connection_factory.py
@@ -1,4 +1,4 @@
-"""The protocols and TLS contexts by which connections to servers are opened, from our own options."""
+"""Opens connections to servers with the protocol and TLS context that the options file sets."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ProtocolSelector(asyncio.Protocol):
-    """Stands in on a new connection until the server has chosen its protocol by ALPN (RFC 7301).
+    """The protocol of a new connection until the server has selected one by ALPN (RFC 7301).
 
     Attributes:
-        connection: What speaks the chosen protocol, from `connection_made` on.
+        connection: The connection for the selected protocol, from `connection_made` on.
     """
 
     def __init__(self, group: ConnectionGroup) -> None:
@@ -30,7 +30,7 @@
         self.connection: Http2Connection | Http1Connection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open, TLS included; without TLS, HTTP/2 is spoken with prior knowledge."""
+        """Called when the connection and its TLS are open; without TLS, HTTP/2 is used by prior knowledge."""
         opened = cast(asyncio.Transport, transport)
         tls = opened.get_extra_info("ssl_object")
         if tls is not None and tls.selected_alpn_protocol() != "h2":
@@ -43,7 +43,7 @@
 
 
 def build_tls_context(options: Options, offer: ProtocolOffer) -> ssl.SSLContext:
-    """Returns a client's TLS context, 1.2 or later, that checks names against the configured CAs.
+    """Returns a client's context for TLS 1.2 or later that verifies certificates by the configured CAs.
 
     Raises `ConfigError`, which names the option whose file cannot be used.
     """
@@ -51,14 +51,14 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(ALPN_PROTOCOLS[offer])
-    # RFC 9113, section 9.2.1: neither compression nor renegotiation.
+    # RFC 9113, section 9.2.1, forbids compression and renegotiation.
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     key = "tls.ca"
     try:
         context.load_verify_locations(options.file(tls.ca))
         if tls.certificate:
             key = "tls.certificate"
-            # An empty passphrase, as a daemon must not prompt for one on its terminal.
+            # An empty passphrase prevents OpenSSL from prompting for one on the daemon's terminal.
             context.load_cert_chain(options.file(tls.certificate), options.file(tls.key), password="")
     except (OSError, ValueError) as error:  # SSLError is an OSError
         reason = getattr(error, "strerror", None) or str(error)
@@ -67,10 +67,10 @@
 
 
 class ConnectionFactory:
-    """The HTTP/2 options, the negotiation and the TLS contexts that are in force together.
+    """The HTTP/2 options, the protocol negotiation and the TLS contexts of one options file.
 
-    `negotiation` is the former factory's, whose fallbacks stay remembered. Raises `ConfigError` for a file
-    that cannot be used; the former options then stay in force.
+    `negotiation` is that of the former factory, so that known fallbacks are kept. Raises `ConfigError` for a
+    file that cannot be used; the former options then stay in force.
     """
 
     def __init__(self, options: Options, negotiation: ProtocolNegotiation | None = None) -> None:
@@ -79,14 +79,14 @@
         if options.tls.ca:
             self.tls_contexts = {offer: build_tls_context(options, offer) for offer in ALPN_PROTOCOLS}
         self.negotiation = negotiation or ProtocolNegotiation(self.http2_options)
-        self.negotiation.options = self.http2_options  # last, when nothing can fail any more
+        self.negotiation.options = self.http2_options  # last, after all steps that can fail
 
     def offer(self, server: UpstreamServer, now_ms: float) -> ProtocolOffer:
         """Returns how the server's next connection is opened."""
         return self.negotiation.offer(server.name, server.model, now_ms)
 
     def tls_arguments(self, server: UpstreamServer, now_ms: float) -> dict[str, Any]:
-        """Returns what `create_connection` needs for TLS; nothing for a server without it."""
+        """Returns the arguments of `create_connection` for TLS; none for a server without TLS."""
         offer = self.offer(server, now_ms)
         if not offer.is_tls:
             return {}
@@ -94,9 +94,9 @@
         return {"ssl": self.tls_contexts[offer], "server_hostname": name}
 
     def new_selector(self, group: ConnectionGroup) -> ProtocolSelector:
-        """Returns the protocol of a new connection of a group."""
+        """Returns the initial protocol of a new connection of a group."""
         return ProtocolSelector(group)
 
     def new_group(self, pool: GroupPool, server: UpstreamServer) -> ConnectionGroup:
-        """Returns the group of a server to which HTTP/2 is spoken from now on."""
+        """Returns the connection group of a server that is reached over HTTP/2 from now on."""
         return ConnectionGroup(pool, server, self.http2_options)
--- a/gladewalk/upstream/connection_opener.py
+++ b/gladewalk/upstream/connection_opener.py
@@ -1,4 +1,4 @@
-"""Opens connections to servers, over TLS where that is set, and hands them to the work items that wait."""
+"""Opens connections to servers, with TLS if it is configured, and assigns them to waiting work items."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from .upstream_server import ConnectionRequest, ServerPool, UpstreamServer
 from .work_items import WorkItem
 
-if TYPE_CHECKING:  # HTTP/2 and its library are not imported while they are off
+if TYPE_CHECKING:  # HTTP/2 and its library are not imported while HTTP/2 is off
     from .connection_factory import ConnectionFactory
     from .connection_group import ConnectionGroup
     from .http2 import Http2Connection
 
 
-# Errors of this process or machine: they tell nothing of the server (Linux, socket(2) and connect(2)).
+# Errors of this process or machine, which say nothing about the server (Linux, socket(2) and connect(2)).
 LOCAL_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
 )
 
 
 class GroupConnectionRequest:
-    """A connection that a server's group asks for; no single work item waits for it."""
+    """A connection group's request for one more connection; no single work item waits for it."""
 
     def __init__(self, group: ConnectionGroup) -> None:
         self.group, self.server = group, group.server
@@ -32,11 +32,11 @@
 
 
 class OpenerPool(ServerPool, Protocol):
-    """What the opener needs of the pool."""
+    """The part of the pool that the opener uses."""
 
     @property
     def http1_class(self) -> type[Http1Connection]:
-        """What speaks HTTP/1.1 to the servers."""
+        """The class of HTTP/1.1 connections to the servers."""
 
     @property
     def connection_factory(self) -> ConnectionFactory | None:
@@ -46,10 +46,10 @@
         """Sends a work item on an open connection."""
 
     def fail_request(self, request: ConnectionRequest) -> None:
-        """Ends a work item that gets no connection."""
+        """Ends a work item for which no connection could be opened in time."""
 
     def fall_back(self, server: UpstreamServer, reason: str) -> None:
-        """Speaks HTTP/1.1 to a server from now on."""
+        """Uses HTTP/1.1 for a server from now on."""
 
 
 class ConnectionOpener:
@@ -60,7 +60,7 @@
         self.opening: set[ConnectionRequest | GroupConnectionRequest] = set()
 
     def open(self, request: ConnectionRequest | GroupConnectionRequest) -> None:
-        """Begins to open the connection that a request asks for."""
+        """Starts opening a requested connection."""
         self.pool.counters.add("caches.connects")
         self.opening.add(request)
         if isinstance(request, ConnectionRequest):
@@ -73,7 +73,7 @@
         request.task.add_done_callback(lambda _: self._finish(request))
 
     def _finish(self, request: ConnectionRequest | GroupConnectionRequest) -> None:
-        """The connection is open, or is not being opened any more."""
+        """Removes a request whose connection is open or could not be opened; serves the waiting requests."""
         if request in self.opening:
             self.opening.remove(request)
             self.pool.serve_waiting()
@@ -82,7 +82,7 @@
         connection: Http1Connection | None = None
         pool, server = self.pool, request.server
         try:
-            # Dials again if the server was given another address in the meantime.
+            # Connects again if the server's address has changed in the meantime.
             while connection is None or connection.address != server.address:
                 if connection is not None:
                     connection.close()
@@ -95,7 +95,7 @@
             self._count_tls_failure(error)
         finally:
             self._finish(request)
-        if request.item.carrier is not request:  # cancelled, or sent on another: it may serve others
+        if request.item.carrier is not request:  # cancelled or sent on another: this one becomes idle
             pool.deadlines.drop(request.timer)
             if connection is not None and connection.transport is not None:
                 server.release(connection)
@@ -106,7 +106,7 @@
             pool.write(connection, request.item)
 
     async def _connect_group(self, request: GroupConnectionRequest) -> None:
-        """Opens an HTTP/2 connection, or an HTTP/1.1 one if the server chooses that by ALPN."""
+        """Opens an HTTP/2 connection, or an HTTP/1.1 connection if the server selects that by ALPN."""
         pool, group, server = self.pool, request.group, request.server
         factory = pool.connection_factory
         assert factory is not None
@@ -130,7 +130,7 @@
             server.release(opened)
 
     def _tls_arguments(self, server: UpstreamServer) -> dict[str, Any]:
-        """Returns what `create_connection` needs for TLS; nothing for a server without it."""
+        """Returns the arguments of `create_connection` for TLS; none for a server without TLS."""
         factory = self.pool.connection_factory
         return {} if factory is None else factory.tls_arguments(server, self.pool.clock())
 
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -26,7 +26,7 @@
 
 
 class Http1Server(Protocol):
-    """What an HTTP/1.1 connection needs of the server that it leads to."""
+    """The part of a server's record that an HTTP/1.1 connection uses."""
 
     @property
     def pool(self) -> ConnectionOwner:
@@ -37,18 +37,18 @@
         """Where the server is dialled now."""
 
     def release(self, connection: Http1Connection) -> None:
-        """Takes a connection back that has nothing in flight any more."""
+        """Returns a connection without a request in flight to the idle ones."""
 
     def forget(self, connection: Http1Connection) -> None:
-        """Removes a connection that is closed from the idle ones, if it is among them."""
+        """Removes a closed connection from the idle ones, if it is among them."""
 
     @property
     def name(self) -> str:
         """The server's name in the endpoint list."""
 
     @property
-    def rest(self) -> ReuseDelay:
-        """How long its connections rest after each response."""
+    def reuse_delay(self) -> ReuseDelay:
+        """How long the server's connections are not reused after each response."""
 
 
 def encode_health_check(check: HealthCheck) -> bytes:
@@ -71,15 +71,16 @@
         item: The attempt or health check in flight.
         address: Where the connection was dialled; the server may have moved since.
         released_ms: When its last response was complete, steady milliseconds.
-        reused_after_ms: How long it had rested when it was used again; 0 on its first use.
-        idle_until_ms: Until when it may be used while it is idle, steady milliseconds.
-        last_trace_id: Of the attempt that it carried last; empty: a health check, or none.
+        reused_after_ms: How long it was idle before the request that it carries now; 0 on its first use.
+        idle_until_ms: Until when the idle connection may be reused, steady milliseconds.
+        last_trace_id: The trace id of the attempt that it carried last; empty after a health check, and
+            before the first request.
         has_carried: Whether a request was sent on it.
-        read_bytes: Bytes of the response's head, then of its body.
-        framing_bytes: Bytes read since the last ones of a body (chunk sizes, extensions, trailers).
-        is_forwarded: Whether the response goes to a client.
-        pending_head: A head that was parsed in this read and not yet forwarded.
-        pending_body: The same of the body.
+        read_bytes: Received bytes of the response's head, and of its body once the head is complete.
+        framing_bytes: Bytes received since the last body bytes (chunk sizes, extensions, trailers).
+        is_forwarded: Whether the response is forwarded to a client.
+        pending_head: A response head that was parsed in this read and is not forwarded yet.
+        pending_body: Pieces of the body that were parsed in this read and are not forwarded yet.
     """
 
     def __init__(self, server: Http1Server) -> None:
@@ -98,19 +99,19 @@
         self.pending_body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Called when the connection is open."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
         self.poll = socket_poll(self.transport)
         self.pool.open_connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed; ends the work item in flight."""
+        """Called when the connection is closed; ends the work item in flight."""
         transport, self.transport = self.transport, None
         self.pool.open_connections.discard(self)
         self.server.forget(self)
         item, self.item = self.item, None
         if item is not None:
-            # A request that was not written completely never ran; a complete one may have, in any case.
+            # An incompletely written request cannot have been processed; a complete one may have been.
             is_written = transport is not None and transport.get_write_buffer_size() == 0
             status = api.Status.RESET if is_written else api.Status.CONNECT_FAILED
             self.pool.finish(item, AttemptResult(status))
@@ -153,8 +154,8 @@
             else:
                 self.transport.pause_reading()
 
-    def is_quiet(self) -> bool:
-        """Whether the server has neither sent anything since its last response nor closed.
+    def is_input_empty(self) -> bool:
+        """Whether the server has neither sent anything since its last response nor closed the connection.
 
         Unread bytes after a response would be taken for the next request's response.
         """
@@ -162,7 +163,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parses a piece of the response and forwards what is valid of it."""
-        if self.item is None:  # no request is in flight: a correct server sends nothing now
+        if self.item is None:  # without a request in flight, a correct server sends nothing
             self._note_surplus(self.pool.clock() - self.released_ms)
             return self.close()
         has_surplus = False
@@ -187,17 +188,19 @@
             self._finish(has_surplus)
 
     def _forward(self) -> None:
-        """Forwards what this read gave, once all of it has proved valid."""
+        """Forwards the head and body parsed in this read, after all bytes of the read were found valid."""
         head, self.pending_head = self.pending_head, None
         if head is not None and isinstance(self.item, Attempt):
             self.is_forwarded = self.pool.exchange.response_started(self.item, head)
         for body in self.pending_body:
-            if self.is_forwarded and isinstance(self.item, Attempt):  # a client may disconnect in between
+            if self.is_forwarded and isinstance(
+                self.item, Attempt
+            ):  # a client may disconnect between two pieces
                 self.pool.exchange.response_body(self.item, body)
         self.pending_body.clear()
 
     def _fail(self) -> None:
-        """Ends the work item in flight and the connection: the response is invalid."""
+        """Ends the work item in flight and closes the connection, as the response is invalid."""
         item = self.item
         self.pool.counters.add("caches.unreadable_answer")
         self.close()
@@ -205,9 +208,9 @@
             self.pool.finish(item, AttemptResult(api.Status.ERROR))
 
     def _finish(self, has_surplus: bool) -> None:
-        """Ends the work item: its response is complete and the whole read has been checked.
+        """Ends the work item, whose response is complete, after the whole read was checked.
 
-        Only now may the connection be used again; bytes after the response end it.
+        Only now may the connection be reused. It is closed instead if bytes follow the response.
         """
         item, self.item = self.item, None
         assert item is not None
@@ -220,45 +223,48 @@
             self.close()
         self.pool.finish(item, read_result(self.status, self.headers))
 
-    def _note_surplus(self, lateness_ms: float) -> None:
-        """Counts and logs bytes behind a complete response.
+    def _note_surplus(self, elapsed_ms: float) -> None:
+        """Counts and logs surplus bytes, received after a complete response.
 
-        They are a second response, or the right one to a request that was answered by a second response to
-        the request before, which then came after the connection had rested.
+        They are one of two things: a duplicate response, or the response to a request for which the duplicate
+        response to the request before was taken, because it was received after the reuse delay.
+
+        Args:
+            elapsed_ms: The time between the response's end and these bytes.
         """
         self.pool.counters.add("caches.surplus")
-        self.server.rest.surplus_read(self.pool.clock(), max(lateness_ms, self.reused_after_ms))
-        self.pool.exchange.request_log.surplus_read(self.server.name, self.last_trace_id, lateness_ms)
+        self.server.reuse_delay.record_surplus_bytes(self.pool.clock(), max(elapsed_ms, self.reused_after_ms))
+        self.pool.exchange.request_log.surplus_read(self.server.name, self.last_trace_id, elapsed_ms)
 
     def _count_bytes(self, count: int, maximum: int) -> None:
         self.read_bytes += count
         if self.read_bytes > maximum:
-            raise InvalidResponseError(f"{self.read_bytes} bytes, at most {maximum} are read")
+            raise InvalidResponseError(f"{self.read_bytes} bytes were read, the limit is {maximum}")
 
     # Called by httptools.
 
     def on_message_begin(self) -> None:
-        """The first byte of a response."""
+        """Called at the first byte of a response."""
         if self.is_complete:
-            raise InvalidResponseError("a second response to one request")
+            raise InvalidResponseError("a duplicate response to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head or the trailer."""
+        """Called with a field of the head or the trailer."""
         name = name.lower()
         if name == b"content-length" and name in self.headers:
             raise InvalidResponseError("two Content-Length fields")
         self.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """The head is complete; rejects a body whose end is ambiguous (RFC 9112, section 6.3)."""
+        """Called when the head is complete; rejects a body with an ambiguous end (RFC 9112, section 6.3)."""
         self.status = self.parser.get_status_code()
         if self.status < 200:
             return
         length = read_content_length(self.headers)
         is_chunked = self.headers.get(b"transfer-encoding", b"").lower() == b"chunked"
-        # Here, before anything of it reaches the client.
+        # The framing is checked here, before any of the response is forwarded to the client.
         if self.status != 304 and (length is None) != is_chunked:
-            raise InvalidResponseError("a body whose end is ambiguous")
+            raise InvalidResponseError("a body with an ambiguous end")
         if length is not None and length > MAX_OBJECT_BYTES:
             raise InvalidResponseError(f"a body of {length} bytes is announced")
         self.has_complete_head, self.read_bytes = True, 0
@@ -268,7 +274,7 @@
             self.pending_head = ResponseHead(self.status == 304, length, decoded_etag)
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Called with a piece of the body."""
         self.framing_bytes = 0
         self.read_bytes += len(body)
         if self.read_bytes > MAX_OBJECT_BYTES:
@@ -276,7 +282,7 @@
         self.pending_body.append(body)
 
     def on_message_complete(self) -> None:
-        """The response is complete, or an interim one that the final one follows."""
+        """Called when a response is complete: the final one, or an interim one before it."""
         if self.status < 200:
             self.headers = {}
         else:
--- a/gladewalk/upstream/http2.py
+++ b/gladewalk/upstream/http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to a server (RFC 9113): many attempts on one connection, each on a stream of its own."""
+"""HTTP/2 to a server (RFC 9113): a connection carries many attempts, each on its own stream."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 from .upstream_server import UpstreamServer
 from .work_items import ConnectionOwner, WorkItem
 
-READ_SLICE_BYTES = 16 * 1024  # parsed between two looks at the events that they brought about
+READ_SLICE_BYTES = 16 * 1024  # the most bytes that are parsed before their events are handled
 PING_DATA = b"gladewlk"
 
 
 class Http2Pool(ConnectionOwner, Protocol):
-    """What an HTTP/2 connection needs of the pool that owns it."""
+    """The part of the pool that an HTTP/2 connection uses."""
 
     on_stream_ended: Callable[[Attempt, StreamOutcome], None] | None
 
 
 class Http2Group(Protocol):
-    """What an HTTP/2 connection needs of the group that it belongs to."""
+    """The part of a connection group that an HTTP/2 connection uses."""
 
     options: Http2Options
     allocator: StreamAllocator
@@ -53,33 +53,33 @@
         """The pool that owns the connection."""
 
     def settings_received(self, connection: Http2Connection, max_streams: int) -> ConnectionSlots:
-        """The server has sent its settings: returns the connection's slots."""
+        """Called when the server's settings are received; returns the connection's slots."""
 
     def connection_closed(self, connection: Http2Connection) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
 
     def serve_waiting(self) -> None:
-        """Gives waiting work items the streams that are available now."""
+        """Assigns available streams to waiting work items."""
 
     def calm_requested(self) -> None:
-        """The server has sent ENHANCE_YOUR_CALM."""
+        """Called when the server has sent ENHANCE_YOUR_CALM."""
 
     def fall_back(self, reason: str) -> None:
-        """Speaks HTTP/1.1 to the server from now on."""
+        """Uses HTTP/1.1 for the server from now on."""
 
 
 class Http2Connection(asyncio.Protocol):
-    """One connection; it takes requests once the server's settings have come.
+    """One connection; it carries requests once the server's settings are received.
 
-    Before that it is not known whether the server speaks HTTP/2 at all, and nothing has been sent to it.
+    Before that it is unknown whether the server supports HTTP/2 at all, and no request is sent to it.
 
     Attributes:
-        address: Where the connection was dialled; the server may have moved since.
-        slots: What the allocator knows of the connection; None before the server's settings.
+        address: The address that was dialled; the server's address may have changed since.
+        slots: The allocator's record of the connection; None before the server's settings are received.
         streams: The open streams by their ids.
-        resets: Limits the resets that are sent, which otherwise may look like a rapid-reset attack.
-        has_received: Whether the server has sent any valid byte.
-        end_reason: Why streams that are open at the connection's end have ended.
+        resets: Limits the resets that are sent; more of them could look like a rapid-reset attack.
+        has_received: Whether any valid frame bytes were received from the server.
+        end_reason: The end reason of streams that are still open when the connection is closed.
     """
 
     def __init__(self, group: Http2Group, is_tls: bool) -> None:
@@ -104,41 +104,41 @@
     # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open, over TLS where that is set."""
+        """Called when the connection is open, including TLS if it is configured."""
         self.pool.open_connections.add(self)
         self.output.open(cast(asyncio.Transport, transport))  # uvloop's does not inherit from it
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed; ends the work items of all open streams."""
-        taken_bytes = self.output.final_taken_bytes()
+        """Called when the connection is closed; ends the work items of all open streams."""
+        accepted_bytes = self.output.final_accepted_bytes()
         self.output.transport = None
         self.pool.open_connections.discard(self)
         self.group.connection_closed(self)
-        for outcome in self.tracker.connection_closed(self.end_reason, taken_bytes):
+        for outcome in self.tracker.connection_closed(self.end_reason, accepted_bytes):
             self._end_without_response(outcome)
         self.streams.clear()
         self.group.serve_waiting()
         self.pool.serve_waiting()
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full: nothing new is sent."""
+        """Called when the transport's buffer is full: nothing more is written to it."""
         self.output.is_writable = False
         if self.slots is not None:
             self.slots.is_stalled = True
 
     def resume_writing(self) -> None:
-        """The transport's buffer has been emptied."""
+        """Called when the transport's buffer has drained below its limit: writing continues."""
         self.output.is_writable = True
         if self.slots is not None:
             self.slots.is_stalled = False
         self._continue()
 
     def eof_received(self) -> bool:
-        """Closes the connection: a server that has closed its side answers nothing more."""
+        """Closes the connection: a server that has closed its sending side can send no more responses."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parses frames and handles their events; all that follows is written at the end, together."""
+        """Parses frames and handles their events; all resulting frames are written together at the end."""
         self.keep_alive.data_received(self.pool.clock())
         self.output.is_corked = True
         try:
@@ -220,11 +220,11 @@
         stream = self.streams.get(stream_id)
         if stream is None:
             return
-        if stream.item is not None and not stream.status:  # an end without a head
+        if stream.item is not None and not stream.status:  # the stream has ended without a head
             return self._fail(stream)
         item, stream.item = stream.item, None
         self.tracker.response_completed(stream_id)
-        if stream.unsent_body:  # the server needs no more of the request
+        if stream.unsent_body:  # the server does not need the rest of the request's body
             self._reset(stream_id, ErrorCodes.NO_ERROR)
         self._forget(stream, was_abandoned=item is None)
         if item is not None:
@@ -232,17 +232,17 @@
             self.pool.finish(item, read_result(stream.status, stream.headers))
 
     def _on_reset(self, stream_id: int, code: int) -> None:
-        outcome = self.tracker.reset(stream_id, code, self.output.taken_bytes())
+        outcome = self.tracker.reset(stream_id, code, self.output.accepted_bytes())
         self.pool.counters.add("h2.resets_heard")
         self._apply_error_code(code)
         if outcome is not None:
             self._end_without_response(outcome)
 
     def _on_stream_violation(self, stream_id: int) -> None:
-        """The engine has reset a stream for a violation that concerns only the stream (RFC 9113, 5.4.2)."""
+        """Ends a stream that the engine has reset for a violation on that stream only (RFC 9113, 5.4.2)."""
         self.pool.counters.add("h2.broke_rules")
         self.pool.counters.add("h2.broke_rules.on_a_stream")
-        outcome = self.tracker.protocol_error(stream_id, self.output.taken_bytes())
+        outcome = self.tracker.protocol_error(stream_id, self.output.accepted_bytes())
         if outcome is not None:
             self._end_without_response(outcome)
 
@@ -250,7 +250,7 @@
         self.pool.counters.add("h2.goaways")
         self._apply_error_code(code)
         raised_before = self.tracker.raised_goaways
-        outcomes = self.tracker.goaway(last_id, code, self.output.taken_bytes())
+        outcomes = self.tracker.goaway(last_id, code, self.output.accepted_bytes())
         if self.slots is not None:
             self.group.allocator.drain(self.slots, self.pool.clock())
         if self.tracker.raised_goaways > raised_before:
@@ -260,7 +260,7 @@
         self.close_if_idle()
 
     def _apply_error_code(self, code: int) -> None:
-        """Applies what an error code asks of the whole server, in RST_STREAM and in GOAWAY."""
+        """Applies the error codes of RST_STREAM and GOAWAY that concern the whole server."""
         if code == ENHANCE_YOUR_CALM:
             self.group.calm_requested()
         if code == HTTP_1_1_REQUIRED:
@@ -269,23 +269,23 @@
     def _close_by_violation(self, error: ProtocolError) -> None:
         """Closes the connection after a violation (RFC 9113, section 5.4.1).
 
-        The GOAWAY that the engine has prepared with the violation's code is not written: the output is corked
-        while a read is handled.
+        The engine has prepared a GOAWAY with the violation's code, but it is not written, because the output
+        is corked while a read is handled.
         """
         self.pool.counters.add("h2.broke_rules")
         self.pool.counters.add(f"h2.broke_rules.{violation_name(error)}")
-        if not self.has_received or self.slots is None:  # no settings, so no HTTP/2
+        if not self.has_received or self.slots is None:  # without settings, the server does not use HTTP/2
             self.group.fall_back("no HTTP/2 preface")
         self.end_reason = EndReason.PROTOCOL_ERROR
         if self.transport is not None and self.output.is_writable:
             self.transport.close()
-        else:  # the server does not read
+        else:  # the server does not read, so that a graceful close would never complete
             self.output.abort()
 
     # Requests and their ends.
 
     def send(self, item: WorkItem) -> None:
-        """Opens a stream for a work item; the allocator must have found capacity for it."""
+        """Opens a stream for a work item; the allocator must have chosen this connection for it."""
         assert self.slots is not None and self.transport is not None
         stream_id = self.group.allocator.open_stream(self.slots)
         stream = self.streams[stream_id] = Http2Stream(self, stream_id, item)
@@ -302,12 +302,13 @@
         self.output.flush()
 
     def abandon(self, stream: Http2Stream) -> None:
-        """Ends a stream whose response is not wanted any more, by a reset if the limit of resets allows it.
+        """Ends a stream whose response is not needed any more, by a reset if the limit of resets allows it.
 
-        Otherwise the stream goes on unread with its window closed, and counts against the limit of streams as
-        it does at the server: more resets could look like an attack by rapid reset.
+        Otherwise the stream stays open: its response is discarded, its window is not opened again, and it
+        counts against the limit of streams, as it does at the server. More resets could look like a
+        rapid-reset attack.
         """
-        self.tracker.cancel(stream.stream_id, self.output.taken_bytes())
+        self.tracker.cancel(stream.stream_id, self.output.accepted_bytes())
         if self.transport is None or self.streams.get(stream.stream_id) is not stream:
             return
         if self.resets.take(self.pool.clock()):
@@ -363,7 +364,7 @@
     # The end of the connection.
 
     def check_keep_alive(self, now_ms: float) -> None:
-        """Sends a PING after silence, and closes the connection if nothing follows."""
+        """Sends a PING after a time without received bytes, and closes the connection if none follow."""
         is_outstanding = bool(self.streams) or self.slots is None
         match self.keep_alive.check(is_outstanding, now_ms):
             case KeepAliveAction.PING:
@@ -383,7 +384,7 @@
             self.close()
 
     def close(self) -> None:
-        """Closes the connection with a GOAWAY; streams that are still open end with it."""
+        """Closes the connection with a GOAWAY; streams that are still open end without a response."""
         if self.transport is None or self.transport.is_closing():
             return
         self.engine.close_connection(ErrorCodes.NO_ERROR)
--- a/gladewalk/upstream/http2_engine.py
+++ b/gladewalk/upstream/http2_engine.py
@@ -1,4 +1,4 @@
-"""The HTTP/2 protocol engine: the `h2` library's client side, with our limits and a graceful GOAWAY."""
+"""The HTTP/2 protocol engine: the `h2` library's client side, with stricter limits and a graceful GOAWAY."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 if TYPE_CHECKING:
     from h2._typing import Buffer
 
-logging.getLogger("hpack.hpack").disabled = True  # it prepares a line for each field, logged or not
-MAX_CLOSED_STREAMS = 4_096  # closed streams that late frames may still belong to; limits memory
-OPEN_STREAM_SWEEP_INTERVAL = 64  # opened streams between two sweeps of the library's closed ones
-PREFIX_LENGTH_BYTES = 3  # of a frame: its length (RFC 9113, section 4.1)
+logging.getLogger("hpack.hpack").disabled = True  # it formats a line for each field even if none is logged
+MAX_CLOSED_STREAMS = 4_096  # limits the memory for closed streams, for which delayed frames may be received
+OPEN_STREAM_SWEEP_INTERVAL = 64  # opened streams between two removals of closed streams in the library
+PREFIX_LENGTH_BYTES = 3  # a frame begins with its length, in 3 bytes (RFC 9113, section 4.1)
 
 
 class FrameFloodError(GladewalkError, ProtocolError):
-    """More frames without payload than a correct server ever sends."""
+    """The server has sent more frames without payload than a correct server does."""
 
     error_code = ErrorCodes.ENHANCE_YOUR_CALM
 
@@ -41,7 +41,7 @@
 
 
 class PlainEncoder(Encoder):
-    """The library's HPACK encoder without Huffman coding, whose time costs more than its bytes save here."""
+    """The library's HPACK encoder without Huffman coding, which costs more time here than its bytes save."""
 
     def encode(self, headers: Any, huffman: bool = False) -> bytes:
         """Returns a block of fields as literals without Huffman coding."""
@@ -49,13 +49,13 @@
 
 
 class Http2Engine(H2Connection):
-    """`h2` as a client: no push, limited heads, limited frames without payload.
+    """`h2` as a client, without server push, with limits for heads and for frames without payload.
 
-    Two of the library's inner methods and one property are replaced where its public interface does not
-    suffice; a test fails if a new version of the library no longer calls them.
+    Two of the library's internal methods and one property are overridden, because its public interface does
+    not suffice. A test fails if a new version of the library no longer calls them.
 
     Attributes:
-        control_frames: Limits the frames without payload that the server may send.
+        control_frames: Limits the rate of frames without payload that the server may send.
     """
 
     MAX_CLOSED_STREAMS = MAX_CLOSED_STREAMS
@@ -67,9 +67,9 @@
             H2Configuration(
                 client_side=True,
                 header_encoding=None,
-                validate_outbound_headers=False,  # ours are made in one place, in the right order and case
+                validate_outbound_headers=False,  # `encode_fields` makes all of them in valid order and case
                 normalize_outbound_headers=False,
-                normalize_inbound_headers=False,  # it joins cookies, and caches set none
+                normalize_inbound_headers=False,  # it would only join cookies, and caches set none
             )
         )
         self.encoder = PlainEncoder()
@@ -93,8 +93,9 @@
     def receive_data(self, data: Buffer) -> list[Event]:
         """Returns the events of received bytes; raises `ProtocolError` for a violation.
 
-        Rejects a frame that announces megabytes, and an endless head: the library checks a frame's length
-        once all of the frame is received, and a head once its last part is.
+        Rejects a frame whose announced length is above the limit, and a head above its limit, before they are
+        received completely. The library checks a frame's length only once the whole frame is received, and a
+        head's length only once its last part is received.
         """
         events = super().receive_data(data)
         buffer = self.incoming_buffer
@@ -111,13 +112,16 @@
 
     @property
     def open_outbound_streams(self) -> int:
-        """A number below any limit: `StreamAllocator` counts streams before they are opened.
+        """Returns a number below any limit, as `StreamAllocator` checks the limit before a stream is opened.
 
-        The library calls this with each stream that it opens, walks through all streams, and compares their
-        number with a limit that the server may have lowered below it.
+        The library reads this for each stream that it opens. Its own implementation iterates over all
+        streams, and the comparison of their number with the limit fails if the server has lowered the limit
+        below it.
         """
         self._opened_since_sweep += 1
-        if self._opened_since_sweep >= OPEN_STREAM_SWEEP_INTERVAL:  # the walk also forgets closed streams
+        if (
+            self._opened_since_sweep >= OPEN_STREAM_SWEEP_INTERVAL
+        ):  # the iteration also removes closed streams
             self._opened_since_sweep = 0
             self._open_streams(1)
         return -1
@@ -125,8 +129,8 @@
     def _receive_frame(self, frame: Frame) -> list[Event]:
         """Handles a frame; raises `FrameFloodError` for too many SETTINGS, PING, empty DATA, resets and such.
 
-        Such a frame costs its sender nothing and this side a reply or a turn. DATA with payload and HEADERS
-        of open streams are not counted.
+        Such a frame costs its sender nearly nothing, but costs the director a reply or processing time. DATA
+        with payload and HEADERS of open streams are not counted.
         """
         stream = self.streams.get(frame.stream_id)
         is_open = stream is not None and stream.open
@@ -135,20 +139,22 @@
         )
         if not (is_open and has_payload):
             if has_payload and not is_open:
-                self.count("h2.stray_frames")  # on a stream that has ended, or never was opened
+                self.count("h2.stray_frames")  # on a stream that has ended or was never opened
             if not self.control_frames.take(self.clock()):
                 raise FrameFloodError(f"too many frames without payload, the last is {type(frame).__name__}")
-        elif isinstance(frame, DataFrame):  # the library's own handler formats all bytes for a log line first
+        elif isinstance(
+            frame, DataFrame
+        ):  # avoids the library's handler, which first formats all bytes for a log
             frames, events = self._receive_data_frame(frame)
             self._prepare_for_sending(frames)
             return events
         return super()._receive_frame(frame)
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[Event]]:
-        """Lets the streams up to the last id go on, both ways, until they end (RFC 9113, section 6.8).
+        """Keeps the streams up to the last id open in both directions until they end (RFC 9113, section 6.8).
 
-        The library closes its connection state at once and drops what it has not sent; the rest of a valid
-        response would then be a violation.
+        The library's own handler closes its connection state at once and discards unsent data; the rest of a
+        valid response would then count as a violation.
         """
         event = ConnectionTerminated()
         event.error_code = frame.error_code
--- a/gladewalk/upstream/http2_stream.py
+++ b/gladewalk/upstream/http2_stream.py
@@ -1,4 +1,4 @@
-"""One request and its response on an HTTP/2 connection, and what its end means to the dispatcher."""
+"""One request and its response on an HTTP/2 connection, and the attempt status that its end results in."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 )
 from .work_items import WorkItem
 
-# Fields that differ with each request: in HPACK's table (RFC 7541, section 7.1.3) they would evict others.
+# Fields that differ with each request: in HPACK's dynamic table (RFC 7541, section 7.1.3), they would evict
+# the fields that repeat.
 UNINDEXED_FIELDS = frozenset(("X-Ticket", "X-Max-Ms", "X-Nonce", "No-Older-Than", "Have", "Content-Length"))
-STATUS_BY_REASON = {  # of an attempt whose request may have been processed
+STATUS_BY_REASON = {  # the status of an attempt whose request may have been processed
     EndReason.RESET: api.Status.RESET,
     EndReason.CONNECTION_LOST: api.Status.RESET,
     EndReason.KEEP_ALIVE_TIMEOUT: api.Status.RESET,
@@ -32,7 +33,7 @@
 
 
 def attempt_status(outcome: StreamOutcome) -> api.Status:
-    """Returns how an attempt without a response has ended; an unprocessed one may be sent again."""
+    """Returns the status of an attempt without a response; an unprocessed request may be sent again."""
     if outcome.reason is EndReason.REFUSED:
         return api.Status.REJECTED  # the server is up and at its capacity
     if outcome.is_unprocessed:
@@ -43,25 +44,25 @@
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of the connection that it is on."""
+    """The part of its connection that a stream uses."""
 
     def abandon(self, stream: Http2Stream) -> None:
-        """Ends a stream whose response is not wanted any more."""
+        """Ends a stream whose response is not needed any more."""
 
     def resume(self, stream: Http2Stream) -> None:
-        """Opens a stream's window again after a pause."""
+        """Opens a stream's receive window again after a pause."""
 
 
 class Http2Stream:
     """One request and its response; a `Carrier` of its work item.
 
     Attributes:
-        item: The attempt or health check; None once its response is not wanted any more.
-        unsent_body: What has not been sent of the request's body.
-        status: The response's status, 0 before its head.
+        item: The attempt or health check; None once its response is not needed any more.
+        unsent_body: The part of the request's body that has not been sent.
+        status: The response's status, 0 before its head is received.
         body_bytes: Received bytes of the response's body.
-        is_forwarded: Whether the response goes to a client.
-        is_paused: Whether the client is slow, so that the stream's window is not opened again.
+        is_forwarded: Whether the response is forwarded to a client.
+        is_paused: Whether reading is paused for a slow client, so that the window is not opened again.
         uncredited_bytes: Received bytes for which the stream's window has not been opened again.
     """
 
@@ -91,9 +92,9 @@
             self.connection.resume(self)
 
     def read_head(self, fields: list[tuple[bytes, bytes]]) -> ResponseHead | None:
-        """Takes the response's head; returns it for the client, None where the response goes to no client.
+        """Reads the response's head; returns it if it is forwarded to a client, else None.
 
-        Raises `InvalidResponseError`, or `ValueError` for a status that is no number.
+        Raises `InvalidResponseError`, or `ValueError` for a status that is not a number.
         """
         headers: dict[bytes, bytes] = {}
         for name, value in fields:
--- a/gladewalk/upstream/pool.py
+++ b/gladewalk/upstream/pool.py
@@ -1,7 +1,8 @@
 """The connection pool: all connections to caches, parents and origins, within a share of the descriptors.
 
-A server is spoken to over HTTP/1.1, with one work item at a time on a connection, or has a `ConnectionGroup`
-of multiplexed HTTP/2 connections. `ProtocolNegotiation` decides which; one limit holds for both kinds.
+A server is reached over HTTP/1.1, with one work item at a time on a connection, or over a `ConnectionGroup`
+of multiplexed HTTP/2 connections. `ProtocolNegotiation` decides which; one limit applies to the connections
+of both protocols together.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 from .upstream_server import IDLE_TIMEOUT_FRACTION, ConnectionRequest, UpstreamServer, WaitQueue
 from .work_items import HealthCheck, WorkItem
 
-if TYPE_CHECKING:  # HTTP/2 and its library are not imported while they are off
+if TYPE_CHECKING:  # HTTP/2 and its library are not imported while HTTP/2 is off
     from ..streams.stream_tracker import StreamOutcome
     from .connection_factory import ConnectionFactory
     from .connection_group import ConnectionGroup
     from .http2 import Http2Connection
 
 RESERVED_DESCRIPTORS = 48  # for the program itself: listeners, the coordinator, logs, overlapping connects
-UPSTREAM_DESCRIPTOR_FRACTION = 0.6  # of the descriptors; clients hold up to a third
-MIN_CONNECTIONS = 8  # however few descriptors there are
+UPSTREAM_DESCRIPTOR_FRACTION = 0.6  # of all descriptors; clients may use up to a third
+MIN_CONNECTIONS = 8  # the lower bound of the limit, even if there are too few descriptors
 IDLE_SWEEP_INTERVAL_MS = 1_000.0
-GROUP_SWEEP_INTERVAL_MS = 100.0  # while there are HTTP/2 connections: the precision of their keep-alive times
+GROUP_SWEEP_INTERVAL_MS = 100.0  # applies while there are HTTP/2 groups; the precision of their keep-alive
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 
 
@@ -42,12 +43,12 @@
     Attributes:
         connection_factory: Protocols and TLS; None: HTTP/1.1 without TLS for every server.
         servers: The servers of the endpoint list, by name.
-        waiting: Requests for connections, in their order, until one may be opened.
-        groups: The groups of servers to which HTTP/2 is spoken, or was until lately.
-        max_connections: Open and opening ones together.
-        is_retired: Whether nothing new comes: the pool empties with the last open request.
-        http1_class: What speaks HTTP/1.1 to the servers.
-        on_stream_ended: Called with each HTTP/2 attempt that ended without its response, if set.
+        waiting: Requests for connections, in their order, until a connection may be opened.
+        groups: The HTTP/2 connection groups in use, and replaced ones whose connections are not closed yet.
+        max_connections: The limit of open connections and those being opened, together.
+        is_retired: Whether no new requests are started: all servers are removed after the last open request.
+        http1_class: The class of HTTP/1.1 connections to the servers.
+        on_stream_ended: If set, called with each HTTP/2 attempt that ended without a complete response.
     """
 
     def __init__(
@@ -73,24 +74,24 @@
         self.on_stream_ended: Callable[[Attempt, StreamOutcome], None] | None = None
 
     def configure(self, config: PlatformConfig) -> None:
-        """Applies the platform's configuration; connections that are open stay open."""
+        """Applies the platform configuration; open connections stay open."""
         self.config = config
-        # A director whose listener is inherited may be one of two processes of a handover, and the limit of
-        # descriptors is for both together.
+        # A director with an inherited listener may run beside another process during a handover, and both
+        # together may use the descriptors.
         sharers = 1 if config.inherited_fd is None else 2
         available = int(config.max_descriptors * UPSTREAM_DESCRIPTOR_FRACTION) - RESERVED_DESCRIPTORS
         self.max_connections = max(MIN_CONNECTIONS, available // sharers)
 
     def set_connection_factory(self, factory: ConnectionFactory | None) -> None:
-        """Applies other protocol options; what is in flight goes on under the former ones."""
+        """Applies changed protocol options; requests in flight go on under the former options."""
         self.connection_factory = factory
         for server in self.servers.values():
             self._update_group(server)
-            if server.group is not None:  # other certificates may be in force: open connections are replaced
+            if server.group is not None:  # the certificates may have changed: open connections are replaced
                 server.group.close_idle()
 
     def sweep(self) -> None:
-        """Closes what has been idle for too long, before the servers do; calls itself from then on."""
+        """Closes connections that have been idle too long, before the servers do; schedules its next call."""
         now_ms = self.clock()
         if self.is_retired and not self.exchange.open_requests:
             return self.keep_only(())
@@ -107,7 +108,7 @@
     # Called by the exchange.
 
     def set_address(self, name: str, address: Address | None, model: str = "") -> None:
-        """Sets where a server of this model is dialled from now on; None removes it."""
+        """Sets the address of a server of this model for new connections; None removes the server."""
         server = self.servers.get(name)
         if server is not None and server.address != address:
             server.close_idle()
@@ -124,12 +125,12 @@
             server.model = model
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Removes every server that is not named."""
+        """Removes all servers except the named ones."""
         for name in [name for name in self.servers if name not in names]:
             self.set_address(name, None)
 
     def address(self, name: str) -> Address | None:
-        """Returns where a server is dialled, None for an unknown one."""
+        """Returns a server's address, None for an unknown server."""
         return self.servers[name].address if name in self.servers else None
 
     def start(self, attempt: Attempt) -> None:
@@ -137,7 +138,7 @@
         self._begin(attempt, attempt.order.server)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Abandons an attempt silently: the exchange is not called about it any more."""
+        """Abandons an attempt: the exchange gets no further calls about it."""
         self._cancel(attempt)
 
     def flow(self, attempt: Attempt, on: bool) -> None:
@@ -151,7 +152,7 @@
         done: Callable[[api.Status, float, Any], None],
         path: str = HEALTH_CHECK_PATH,
     ) -> None:
-        """Sends a health check; `done` gets its status, duration in ms and load report."""
+        """Sends a health check; `done` is called with its status, duration in ms and load report."""
         check = HealthCheck(done, self.clock(), path)
         timeout_ms = check.started_ms + HEALTH_CHECK_TIMEOUT_MS
         check.timer = self.deadlines.add(timeout_ms, lambda: self._time_out(check))
@@ -174,7 +175,7 @@
         item.on_result(status, self.clock() - item.started_ms, result.load_report)
 
     def write(self, connection: Http1Connection | Http2Connection, item: WorkItem) -> None:
-        """Sends a work item on an open connection, unless a drain or purge has overtaken it in the queue."""
+        """Sends a work item on an open connection, unless a drain or purge has forbidden it meanwhile."""
         if isinstance(item, Attempt):
             if not self.exchange.may_write(item):
                 if isinstance(connection, Http1Connection):
@@ -185,7 +186,7 @@
         connection.send(item)
 
     def serve_waiting(self) -> None:
-        """Gives waiting work items the connections that are available now, first come first served."""
+        """Assigns available connections to waiting work items, in the order in which they were queued."""
         while self.waiting:
             request = self.waiting[0]
             connection = request.server.acquire() if isinstance(request, ConnectionRequest) else None
@@ -195,27 +196,27 @@
                 self.waiting.popleft()
                 self.opener.open(request)
                 if isinstance(request, ConnectionRequest):
-                    self._watch_rested(request)
+                    self._schedule_reuse(request)
             else:
                 return self._close_longest_idle()
 
-    def _watch_rested(self, request: ConnectionRequest) -> None:
-        """Looks for a connection that has rested by then, while one is being opened for a work item."""
-        self.deadlines.add(request.server.next_rested_ms(), lambda: self._take_rested(request))
+    def _schedule_reuse(self, request: ConnectionRequest) -> None:
+        """Schedules a check for a reusable connection while a new one is being opened for a work item."""
+        self.deadlines.add(request.server.next_reusable_ms(), lambda: self._reuse_connection(request))
 
-    def _take_rested(self, request: ConnectionRequest) -> None:
-        """Sends a work item whose connection is still being opened on one that has rested meanwhile.
+    def _reuse_connection(self, request: ConnectionRequest) -> None:
+        """Sends a work item on a connection that has become reusable before its new connection is open.
 
-        The one that is being opened becomes idle once it is open, or is given up at its time.
+        The new connection becomes idle once it is open, or is abandoned when the connect timeout ends.
         """
         if request.item.carrier is not request:
             return
         connection = request.server.acquire()
         if connection is None:
-            return self._watch_rested(request)
+            return self._schedule_reuse(request)
         self.deadlines.drop(request.timer)
         until_ms = self.clock() + self.config.connect_timeout_ms
-        request.timer = self.deadlines.add(until_ms, request.give_up)
+        request.timer = self.deadlines.add(until_ms, request.cancel_opening)
         self.counters.add("caches.rested_first")
         self.write(connection, request.item)
 
@@ -230,7 +231,7 @@
         return request
 
     def withdraw(self, request: ConnectionRequest) -> ConnectionRequest:
-        """Ends the wait of a work item for its connection, and returns its request."""
+        """Ends a work item's wait for its connection, and returns its request."""
         self.deadlines.drop(request.timer)
         if request.queue is not None:
             request.queue.remove(request)
@@ -240,14 +241,14 @@
         return request
 
     def fail_request(self, request: ConnectionRequest) -> None:
-        """Ends a work item that gets no connection: refused, unreachable, too late, or over a limit.
+        """Ends a work item that gets no connection: refused, unreachable, timed out, or over a limit.
 
         Nothing of the work item was sent.
         """
         is_queued = request.queue is not None
         group = request.server.group
         if is_queued and group is not None and request.queue is group.waiting:
-            is_queued = group.has_connections  # without any, none could be opened
+            is_queued = group.has_connections  # without any, the reason is that none could be opened
             self.counters.add("h2.no_stream" if is_queued else "caches.connects_failed")
         else:
             self.counters.add("caches.no_descriptor" if is_queued else "caches.connects_failed")
@@ -282,7 +283,7 @@
         self.finish(check, AttemptResult(api.Status.TIMEOUT))
 
     def _close_longest_idle(self) -> None:
-        """Closes the connection that has been idle for longest, so that another can be opened elsewhere."""
+        """Closes the connection that has been idle the longest, so that another one can be opened."""
         idle: list[tuple[float, Http1Connection | Http2Connection]] = []
         for server in self.servers.values():
             if server.idle:
@@ -295,15 +296,15 @@
         if idle:
             min(idle, key=lambda entry: entry[0])[1].close()
 
-    # Servers to which HTTP/2 is spoken.
+    # Servers that are reached over HTTP/2.
 
     def open_group_connection(self, group: ConnectionGroup) -> None:
-        """Opens a connection for a group, as soon as the limit allows one more."""
+        """Opens a connection for a group, as soon as the limit allows one more connection."""
         self.waiting.append(GroupConnectionRequest(group))
         self.serve_waiting()
 
     def fall_back(self, server: UpstreamServer, reason: str) -> None:
-        """Speaks HTTP/1.1 to a server from now on; what waits there was not sent and goes over HTTP/1.1."""
+        """Uses HTTP/1.1 for a server from now on, also for its waiting work items, which were not sent."""
         assert self.connection_factory is not None
         self.counters.add("h2.fallbacks")
         self.connection_factory.negotiation.fall_back(server.name, reason, self.clock())
@@ -311,14 +312,14 @@
             self._update_group(server)
 
     def _update_group(self, server: UpstreamServer) -> None:
-        """Gives a server its group or takes it away, by the options and by what it has shown to speak."""
+        """Creates or removes a server's connection group, by the options and the server's known protocols."""
         factory, group = self.connection_factory, server.group
         is_multiplexed = factory is not None and factory.offer(server, self.clock()).is_multiplexed
         is_outdated = factory is not None and group is not None and group.options != factory.http2_options
         if group is not None and (not is_multiplexed or is_outdated):
             server.group = None
             group.close_idle()
-            for request in list(group.waiting):  # not sent: they go over what comes next
+            for request in list(group.waiting):  # they were not sent, and go over the next protocol or group
                 self._begin(self.withdraw(request).item, server.name)
         if is_multiplexed and server.group is None and factory is not None:
             new_group = factory.new_group(self, server)
--- a/gladewalk/upstream/protocol_fields.py
+++ b/gladewalk/upstream/protocol_fields.py
@@ -1,4 +1,4 @@
-"""The caches' protocol, shared by both transports: request fields, remarks and load reports of responses."""
+"""The caches' protocol over HTTP/1.1 and HTTP/2: request fields, response remarks and load reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 AUTHORITY = "app.svc"
 HEALTH_CHECK_PATH = "/load"
-MAX_HEAD_BYTES = 16 * 1024  # before a response's body, interim responses included
+MAX_HEAD_BYTES = 16 * 1024  # of a response's head, together with interim responses before it
 DETAIL_BY_REMARK = dict(
     zip(
         (
@@ -25,7 +25,7 @@
 
 
 class InvalidResponseError(GladewalkError):
-    """A response that cannot be valid, or that does not belong to the request that was sent."""
+    """An invalid response, or one that does not belong to the request that was sent."""
 
 
 def request_path(attempt: Attempt) -> str:
@@ -42,7 +42,7 @@
     if request.idempotency_key:
         fields.append(("X-Nonce", request.idempotency_key))
     if isinstance(order, api.Fetch):
-        if order.source != order.server:  # the server itself as the source means no fill
+        if order.source != order.server:  # if the source is the server itself, there is no fill
             fields.append(("Miss-To", order.source))
         if order.cache_rank:
             fields.append(("Store-As", str(order.cache_rank)))
@@ -68,22 +68,25 @@
 
 
 def read_content_length(headers: dict[bytes, bytes]) -> int | None:
-    """Returns the announced length of a body in bytes, None where there is none or an invalid one."""
+    """Returns a body's announced length in bytes, None if it is missing or invalid."""
     length = headers.get(b"content-length", b"")
     return int(length) if length.isdigit() and len(length) < 10 else None
 
 
 def read_number(text: bytes | None) -> float | None:
-    """Returns a field's number, None where there is none."""
+    """Returns a field's value as a number, None if it is missing or not a number."""
     try:
         return float(text) if text else None
     except ValueError:
         return None
 
 
-@lru_cache(1024)  # a cache repeats its report until it makes a new one, every few hundred responses
+@lru_cache(1024)  # a cache sends the same report in a few hundred responses before it makes a new one
 def parse_load_report(text: bytes | None) -> dict[str, float] | None:
-    """Returns a load report such as `inflight:7;util:0.61` by the module's names, without invalid values."""
+    """Returns a load report such as `inflight:7;util:0.61` by the decision module's field names.
+
+    Invalid values are left out.
+    """
     if not text:
         return None
     load = {}
@@ -96,7 +99,7 @@
 
 
 def read_result(status: int, headers: dict[bytes, bytes]) -> AttemptResult:
-    """Returns the result of an attempt whose response is complete; the names in `headers` are lower case."""
+    """Returns the result of an attempt with a complete response; the names in `headers` are lower case."""
     is_shed = headers.get(b"x-shed") == b"1"
     if status in (200, 304):
         outcome = api.Status.OK
--- a/gladewalk/upstream/upstream_server.py
+++ b/gladewalk/upstream/upstream_server.py
@@ -1,4 +1,4 @@
-"""What the pool holds of one server: its idle connections, and the requests for new ones."""
+"""The pool's record of one server: its idle connections, and the requests for new connections."""
 
 from __future__ import annotations
 
@@ -12,56 +12,58 @@
 from .reuse_delay import ReuseDelay
 from .work_items import ConnectionOwner, WorkItem
 
-if TYPE_CHECKING:  # the options' library is not imported without a file of options
+if TYPE_CHECKING:  # the library that reads options is not imported unless there is an options file
     from ..config.option_tables import Http2Options
 
-IDLE_TIMEOUT_FRACTION = 0.6  # of the time after which a cache closes an idle connection: ours closes first
+# Of the time after which a cache closes an idle connection; the director closes it first.
+IDLE_TIMEOUT_FRACTION = 0.6
 
 
 class ServerPool(ConnectionOwner, Protocol):
-    """What a server's record needs of the pool that it belongs to."""
+    """The part of the pool that a server's record uses."""
 
     @property
     def config(self) -> PlatformConfig:
-        """The platform's configuration in force."""
+        """The platform configuration in force."""
 
     def withdraw(self, request: ConnectionRequest) -> ConnectionRequest:
-        """Ends the wait of a work item for its connection."""
+        """Ends a work item's wait for its connection."""
 
 
 class WaitQueue(Protocol):
-    """A queue that work items wait in for their connections."""
+    """A queue of work items that wait for their connections."""
 
     def remove(self, request: ConnectionRequest, /) -> None:
         """Removes a request from the queue."""
 
 
 class SharedConnections(Protocol):
-    """What a server's record and the pool need of the server's HTTP/2 connections."""
+    """The part of a server's HTTP/2 connection group that the server's record and the pool use."""
 
     options: Http2Options
     waiting: deque[ConnectionRequest]
 
     @property
     def has_connections(self) -> bool:
-        """Whether any connection is open whose server has sent its settings."""
+        """Whether any open connection has received the server's settings."""
 
     def send(self, item: WorkItem) -> None:
-        """Sends a work item as soon as there is a stream for it."""
+        """Sends a work item as soon as a stream is available for it."""
 
     def close_idle(self) -> None:
-        """Closes the connections as soon as nothing is in flight on them; nothing new is sent on them."""
+        """Drains the connections: sends nothing new on them, and closes each once it is idle."""
 
 
 class UpstreamServer:
-    """One server of the endpoint list, by a name that outlives its address.
+    """One server of the endpoint list; its name stays the same when its address changes.
 
     Attributes:
-        model: The model that the endpoint list gives.
-        idle: Its idle HTTP/1.1 connections, the one used last at the end.
-        group: Its HTTP/2 connections; None while HTTP/1.1 is spoken.
-        is_removed: Whether the endpoint list has removed it: what is in flight goes on, nothing stays idle.
-        rest: How long a connection rests after each response before it carries the next request.
+        model: The server's model in the endpoint list.
+        idle: Its idle HTTP/1.1 connections, ordered by their last use, the most recent at the end.
+        group: Its HTTP/2 connections; None while HTTP/1.1 is used.
+        is_removed: Whether the server was removed from the endpoint list: requests in flight go on, and no
+            connection becomes idle any more.
+        reuse_delay: How long a connection is not reused after each response.
     """
 
     def __init__(self, pool: ServerPool, name: str, address: Address) -> None:
@@ -70,10 +72,10 @@
         self.idle: list[Http1Connection] = []
         self.group: SharedConnections | None = None
         self.is_removed = False
-        self.rest = ReuseDelay()
+        self.reuse_delay = ReuseDelay()
 
     def release(self, connection: Http1Connection) -> None:
-        """Takes a connection back as idle, or closes one that leads to a former address."""
+        """Adds a connection to the idle ones, or closes it if it leads to a former address of the server."""
         pool = self.pool
         if self.is_removed or connection.address != self.address:
             return connection.close()
@@ -85,32 +87,36 @@
         pool.serve_waiting()
 
     def acquire(self) -> Http1Connection | None:
-        """Returns the usable idle connection that was used last, None if there is none."""
+        """Returns the most recently used idle connection that may be reused now, None if there is none."""
         now_ms = self.pool.clock()
-        while (index := self._last_rested(now_ms)) is not None:
+        while (index := self._reusable_index(now_ms)) is not None:
             connection = self.idle.pop(index)
-            if connection.idle_until_ms >= now_ms and connection.is_quiet():
+            if connection.idle_until_ms >= now_ms and connection.is_input_empty():
                 return connection
-            connection.close()  # the server has closed it or sent something, or may be closing it just now
+            connection.close()  # the server has closed it, may be closing it now, or has sent surplus bytes
         return None
 
-    def _last_rested(self, now_ms: float) -> int | None:
-        """Returns the place of the idle connection to use, None while each still rests."""
-        max_released_ms = now_ms - self.rest.duration_ms(now_ms)
+    def _reusable_index(self, now_ms: float) -> int | None:
+        """Returns the index of the idle connection to reuse, None if the reuse delay of none has passed."""
+        max_released_ms = now_ms - self.reuse_delay.duration_ms(now_ms)
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
             if connection.released_ms <= max_released_ms or not connection.has_carried:
                 return index
         return None
 
-    def next_rested_ms(self) -> float:
-        """Returns when to look for a rested connection next, steady milliseconds: one may be in use now."""
+    def next_reusable_ms(self) -> float:
+        """Returns when to look for a reusable connection next, steady milliseconds.
+
+        That is the end of the earliest reuse delay, or one reuse delay from now if no connection is idle: a
+        connection that is in use now may be idle by then.
+        """
         now_ms = self.pool.clock()
         released_ms = min((connection.released_ms for connection in self.idle), default=now_ms)
-        return released_ms + self.rest.duration_ms(now_ms)
+        return released_ms + self.reuse_delay.duration_ms(now_ms)
 
     def forget(self, connection: Http1Connection) -> None:
-        """Removes a connection that is closed from the idle ones, if it is among them."""
+        """Removes a closed connection from the idle ones, if it is among them."""
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -120,7 +126,7 @@
             self.idle.pop(0).close()
 
     def close_idle(self) -> None:
-        """Closes all idle connections; HTTP/2 ones as soon as nothing is in flight on them."""
+        """Closes all idle connections; HTTP/2 connections are closed once nothing is in flight on them."""
         for connection in list(self.idle):
             connection.close()
         self.idle.clear()
@@ -133,9 +139,10 @@
 
     Attributes:
         queue: The queue that it waits in; None once its connection is being opened.
-        task: Opens its connection.
-        timer: When the wait ends without a connection.
-        is_local_failure: Whether its connection failed for a reason that is not the server's.
+        task: The task that opens its connection.
+        timer: The deadline of the wait.
+        is_local_failure: Whether opening the connection failed because of this process or machine, not the
+            server.
     """
 
     def __init__(
@@ -151,8 +158,8 @@
         self.timer: DeadlineKey | None = None
         self.is_local_failure = False
 
-    def give_up(self) -> None:
-        """Ends the opening of a connection that nothing waits for any more."""
+    def cancel_opening(self) -> None:
+        """Stops opening a connection that no work item waits for any more."""
         if self.task is not None:
             self.task.cancel()
 
--- a/gladewalk/upstream/work_items.py
+++ b/gladewalk/upstream/work_items.py
@@ -1,4 +1,4 @@
-"""What the pool sends to servers, attempts and health checks, and the interfaces around such a work item."""
+"""Work items, which the pool sends to servers (attempts and health checks), and the interfaces they need."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     Attributes:
         on_result: Called once with the status, the duration in ms and the server's load report.
-        started_ms: When it was asked for, Unix milliseconds.
+        started_ms: When it was started, Unix milliseconds.
         path: The path of its request.
-        carrier: As an attempt's.
-        timer: When it times out.
+        carrier: The connection, stream or queue entry that it is on, as for an attempt.
+        timer: Its timeout.
     """
 
     def __init__(
@@ -35,21 +35,21 @@
 
 
 class Carrier(Protocol):
-    """What a work item is on: an HTTP/1.1 connection, a stream of an HTTP/2 one, or the wait for either."""
+    """An HTTP/1.1 connection or HTTP/2 stream that carries a work item, or the work item's queue entry."""
 
     def cancel(self, item: WorkItem) -> None:
-        """Abandons the work item silently: the pool is not called about it any more."""
+        """Abandons the work item: the pool gets no further calls about it."""
 
     def flow(self, item: WorkItem, on: bool) -> None:
         """Resumes (`on`) or pauses reading the response."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that owns it."""
+    """The part of the pool that a connection uses."""
 
     @property
     def exchange(self) -> Exchange:
-        """Where heads and bodies of responses go."""
+        """The exchange, to which heads and bodies of responses are forwarded."""
 
     @property
     def counters(self) -> Counters:
@@ -70,4 +70,4 @@
         """Ends a work item with its result."""
 
     def serve_waiting(self) -> None:
-        """Gives waiting work items the connections that are available now."""
+        """Assigns available connections to waiting work items."""
--- a/tests/test_golden_upstream.py
+++ b/tests/test_golden_upstream.py
@@ -110,7 +110,7 @@
         self.exchange = RecordingExchange(self.events)
         self.counters = Counters()
         self.exchange.request_log = RequestLog(self.clock, self.counters)
-        self.rest = ReuseDelay()
+        self.reuse_delay = ReuseDelay()
         self.open_connections: set[Any] = set()
         self.idle: list[Any] = []
         self.pool, self.address, self.name, self.is_removed = self, ("127.0.0.1", 1), "c1", False
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -46,7 +46,7 @@
 
     def start_connection(self) -> None:
         self.tracker = StreamTracker()
-        self.sent_bytes = self.taken_bytes = self.received_bytes = 0
+        self.sent_bytes = self.accepted_bytes = self.received_bytes = 0
         self.next_id = 1
         self.head_ends: dict[int, int] = {}  # by stream
         self.processed: set[int] = set()
@@ -63,10 +63,10 @@
     @precondition(lambda self: self.last_allowed_id is None)
     @rule(
         requests=st.lists(st.tuples(st.integers(1, 50), BODY_BYTES), min_size=1, max_size=5),
-        taken_part=PARTS,
+        accepted_part=PARTS,
         received_part=PARTS,
     )
-    def open(self, requests: list[tuple[int, int]], taken_part: float, received_part: float) -> None:
+    def open(self, requests: list[tuple[int, int]], accepted_part: float, received_part: float) -> None:
         """Sends requests with so many bytes of head and body, of which a part arrives at once."""
         for head_bytes, body_bytes in requests:
             head_end = self.sent_bytes + head_bytes
@@ -76,16 +76,16 @@
                 self.sent_bytes += body_bytes
                 self.tracker.body_ended(self.next_id, self.sent_bytes)
             self.next_id += 2
-        self.pass_on(taken_part, received_part)
+        self.pass_on(accepted_part, received_part)
 
-    @rule(taken_part=PARTS, received_part=PARTS)
-    def transmit(self, taken_part: float, received_part: float) -> None:
-        self.pass_on(taken_part, received_part)
+    @rule(accepted_part=PARTS, received_part=PARTS)
+    def transmit(self, accepted_part: float, received_part: float) -> None:
+        self.pass_on(accepted_part, received_part)
 
-    def pass_on(self, taken_part: float, received_part: float) -> None:
+    def pass_on(self, accepted_part: float, received_part: float) -> None:
         """The kernel takes some more, and the server receives some more of that."""
-        self.taken_bytes += round((self.sent_bytes - self.taken_bytes) * taken_part)
-        self.received_bytes += round((self.taken_bytes - self.received_bytes) * received_part)
+        self.accepted_bytes += round((self.sent_bytes - self.accepted_bytes) * accepted_part)
+        self.received_bytes += round((self.accepted_bytes - self.received_bytes) * received_part)
 
     def processable(self) -> list[int]:
         return [
@@ -117,7 +117,7 @@
                 self.refused.add(stream_id)
             elif is_processed_first:
                 self.processed.add(stream_id)
-            self.record(self.tracker.reset(stream_id, code, self.taken_bytes))
+            self.record(self.tracker.reset(stream_id, code, self.accepted_bytes))
 
     @rule(pick=st.integers(0, 30), is_complete=st.booleans())
     def server_responds(self, pick: int, is_complete: bool) -> None:
@@ -135,12 +135,12 @@
         if self.last_allowed_id is not None:
             last_id = min(last_id, self.last_allowed_id)
         self.last_allowed_id = last_id
-        self.record(*self.tracker.goaway(last_id, code, self.taken_bytes))
+        self.record(*self.tracker.goaway(last_id, code, self.accepted_bytes))
 
     @rule(pick=st.integers(0, 30))
     def client_cancels(self, pick: int) -> None:
         if streams := list(self.tracker.streams):
-            self.record(self.tracker.cancel(streams[pick % len(streams)], self.taken_bytes))
+            self.record(self.tracker.cancel(streams[pick % len(streams)], self.accepted_bytes))
 
     @rule(
         reason=st.sampled_from(
@@ -150,7 +150,7 @@
     def connection_closes(self, reason: EndReason) -> None:
         # The server may still process all that it has received.
         self.processed |= set(self.processable())
-        self.record(*self.tracker.connection_closed(reason, self.taken_bytes))
+        self.record(*self.tracker.connection_closed(reason, self.accepted_bytes))
         assert not self.tracker.streams
         self.unprocessed_streams_were_not_processed()
         self.start_connection()
