--- a/gladewalk/upstream/connection_group.py
+++ b/gladewalk/upstream/connection_group.py
@@ -119,7 +119,7 @@
             self.handshaking.discard(connection)
             self.closes_without_data += not connection.has_received
             if self.closes_without_data >= MAX_CLOSES_WITHOUT_DATA and self.server.group is self:
-                self.fall_back("closed on our preface")
+                self.fall_back("closed after the HTTP/2 preface")
             self.connection_failed()
         if connection.slots is not None:
             self.allocator.remove_connection(connection.slots)
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -239,7 +239,7 @@
     def _count_bytes(self, count: int, maximum: int) -> None:
         self.read_bytes += count
         if self.read_bytes > maximum:
-            raise InvalidResponseError(f"{self.read_bytes} bytes were read, the limit is {maximum}")
+            raise InvalidResponseError(f"{self.read_bytes} bytes were read, at most {maximum} are allowed")
 
     # Called by httptools.
 
