--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -1,4 +1,4 @@
-"""No answer reaches a request that did not cause it, when a server sends a second answer to one request."""
+"""When a server sends a duplicate response to one request, no other request gets a response not its own."""
 
 import asyncio
 import itertools
@@ -16,83 +16,90 @@
 from .server_scripts import running
 
 REQUESTS = 6
-DELAYS_S = (0.0, 0.03, 0.08)  # of the server, for each answer
-LATENESSES_S = (0.0, 0.003, 0.01, 0.025, 0.045, 0.05)  # of the second answer behind the first
+DELAYS_S = (0.0, 0.03, 0.08)  # of the server, before each response
+DUPLICATE_DELAYS_S = (0.0, 0.003, 0.01, 0.025, 0.045, 0.05)  # between a response and its duplicate
 PIECE_PAUSE_S = 0.005
-MAX_LATE_S = (REUSE_DELAY_MS - 4.0) / 1000.0
-MAX_PLAYS = 20  # of a case, until the machine lets its second answer come in time
-ON_NEXT_REQUEST_S = 0.05  # a second answer that waits for the server's next request is at most so late
+MAX_DUPLICATE_DELAY_S = (REUSE_DELAY_MS - 4.0) / 1000.0
+MAX_RUNS = 20  # of a case, until no duplicate response is delayed by a busy machine
+MAX_NEXT_REQUEST_WAIT_S = 0.05  # after this, a duplicate is sent without a next request
 SLOW_CONNECT_S = 0.3
 MAX_CONNECTIONS, BATCH, KEYS, ROUNDS = 2, 4, 41, 4
 FORMS = ("whole", "repeated", "cut", "in pieces")
 
 
-def encode_answer(body: bytes, **fields: str) -> bytes:
+def encode_response(body: bytes, **fields: str) -> bytes:
     headers = {"Content-Length": str(len(body)), "Tag": "4be0", **header_names(fields)}
     return encode_message("HTTP/1.1 200 X", headers, body)
 
 
-def own_body(path: str) -> bytes:
-    return f"the answer to {path}".encode()
+def expected_body(path: str) -> bytes:
+    return f"the response to {path}".encode()
 
 
 @dataclass
-class DoublingServer:
-    """Answers each request after a delay, and some of them a second time.
+class DuplicatingServer:
+    """Responds to each request after a delay, and sends a duplicate of some responses.
 
     Attributes:
-        delay_s: Before each answer.
-        late_s: Between an answer's end and the second answer; None: until the next request comes in.
-        form: Of the second answer, one of `FORMS`.
-        doubled: Which answers are followed by a second one, by their numbers; None: all.
-        max_late_s: A second answer that would come later by the server's own clock is left out.
-        was_late: Whether one was.
+        delay_s: The time before each response.
+        duplicate_delay_s: The time between a response's end and its duplicate; None: until the next request
+            is received.
+        form: The duplicate's form, one of `FORMS`.
+        duplicated: The numbers of the responses that are followed by a duplicate; None: all.
+        max_duplicate_delay_s: A duplicate that would be sent later than this, by the server's own clock, is
+            skipped.
+        has_skipped_duplicate: Whether a duplicate was skipped.
     """
 
     delay_s: float
-    late_s: float | None
+    duplicate_delay_s: float | None
     form: str = "whole"
-    doubled: frozenset[int] | None = None
-    max_late_s: float = MAX_LATE_S
-    was_late: bool = False
+    duplicated: frozenset[int] | None = None
+    max_duplicate_delay_s: float = MAX_DUPLICATE_DELAY_S
+    has_skipped_duplicate: bool = False
     numbers: Any = field(default_factory=itertools.count)
-    request_came: asyncio.Event = field(default_factory=asyncio.Event)
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def script(self, request: ReceivedRequest) -> None:
-        """Answers; the second answer comes on its own, also while the next request is under way."""
-        self.request_came.set()
+        """Responds; the duplicate is sent by a task, also while the next request is in flight."""
+        self.request_received.set()
         await asyncio.sleep(self.delay_s)
         number = next(self.numbers)
-        answer = encode_answer(own_body(request.path), X_Meter=f"util:{number / 100}")
-        request.writer.write(answer)
-        if self.doubled is None or number in self.doubled:
-            self.request_came.clear()
-            self.tasks.add(asyncio.get_running_loop().create_task(self._answer_again(request, answer)))
-
-    async def _answer_again(self, request: ReceivedRequest, answer: bytes) -> None:
-        sent_s = asyncio.get_running_loop().time()
-        if self.late_s is not None:
-            await asyncio.sleep(self.late_s)
+        response = encode_response(expected_body(request.path), X_Meter=f"util:{number / 100}")
+        request.writer.write(response)
+        if self.duplicated is None or number in self.duplicated:
+            self.request_received.clear()
+            self.tasks.add(asyncio.get_running_loop().create_task(self._send_duplicate(request, response)))
+
+    async def _send_duplicate(self, request: ReceivedRequest, response: bytes) -> None:
+        responded_s = asyncio.get_running_loop().time()
+        if self.duplicate_delay_s is not None:
+            await asyncio.sleep(self.duplicate_delay_s)
         else:
-            await asyncio.wait([asyncio.ensure_future(self.request_came.wait())], timeout=ON_NEXT_REQUEST_S)
-        second = answer if self.form == "repeated" else encode_answer(b"second answer", X_Meter="util:0.99")
-        if asyncio.get_running_loop().time() - sent_s > self.max_late_s:
-            self.was_late = (
-                True  # the one loop of server and director was held up: not the case that is meant
+            await asyncio.wait(
+                [asyncio.ensure_future(self.request_received.wait())], timeout=MAX_NEXT_REQUEST_WAIT_S
             )
+        duplicate = (
+            response
+            if self.form == "repeated"
+            else encode_response(b"duplicate response", X_Meter="util:0.99")
+        )
+        if asyncio.get_running_loop().time() - responded_s > self.max_duplicate_delay_s:
+            # The event loop that server and director share was blocked, so this is not the intended case.
+            self.has_skipped_duplicate = True
             return
         if self.form == "cut":
-            second = second[:20]
-        middle = len(second) // 2 if self.form == "in pieces" else len(second)
-        request.writer.write(second[:middle])
+            duplicate = duplicate[:20]
+        middle = len(duplicate) // 2 if self.form == "in pieces" else len(duplicate)
+        request.writer.write(duplicate[:middle])
         if self.form == "in pieces":
             await asyncio.sleep(PIECE_PAUSE_S)
-            request.writer.write(second[middle:])
+            request.writer.write(duplicate[middle:])
 
 
-async def ask_in_turn(harness: DirectorHarness, method: str = "GET") -> list[bytes]:
-    """The bodies of some requests for different objects, one after another on one connection."""
+async def request_in_sequence(harness: DirectorHarness, method: str = "GET") -> list[bytes]:
+    """Returns the bodies of requests for different objects, sent one after another on one connection."""
     reader, writer = await harness.connect()
     bodies = []
     for key in range(REQUESTS):
@@ -103,180 +110,201 @@
     return bodies
 
 
-def own_bodies(class_name: str = "lot-page") -> list[bytes]:
-    return [own_body(f"/o/{class_name}/{key + 1:x}/0") for key in range(REQUESTS)]
+def expected_bodies(class_name: str = "lot-page") -> list[bytes]:
+    return [expected_body(f"/o/{class_name}/{key + 1:x}/0") for key in range(REQUESTS)]
 
 
-def origin(server: DoublingServer) -> ScriptedServer:
+def origin(server: DuplicatingServer) -> ScriptedServer:
     return ScriptedServer(server.script, uid="o1", model="origin", zone="north", capacity=32.0)
 
 
-async def ask_together(harness: DirectorHarness, keys: range) -> list[bytes]:
-    """The bodies of requests for different objects, all at once, each on a connection of its own."""
-    answers = await asyncio.gather(
+async def request_concurrently(harness: DirectorHarness, keys: range) -> list[bytes]:
+    """Returns the bodies of requests for different objects, sent together on one connection each."""
+    responses = await asyncio.gather(
         *(harness.fetch(f"/invoke/lot-page/{key:x}", trace=f"{key:016x}") for key in keys)
     )
-    return [body for _, _, body in answers]
+    return [body for _, _, body in responses]
 
 
-async def ask_of(case: DoublingServer, method: str = "GET") -> list[bytes]:
-    """The bodies of a case whose second answers came in time by the server's clock."""
-    for _ in range(MAX_PLAYS):
-        server = DoublingServer(case.delay_s, case.late_s, case.form, case.doubled)
+async def run_case(case: DuplicatingServer, method: str = "GET") -> list[bytes]:
+    """Returns the bodies of a run in which no duplicate was skipped and every request got a response."""
+    for _ in range(MAX_RUNS):
+        server = DuplicatingServer(case.delay_s, case.duplicate_delay_s, case.form, case.duplicated)
         servers = [ScriptedServer(server.script)] if method == "GET" else [origin(server)]
         async with running(*servers) as (harness, _):
-            bodies = await ask_in_turn(harness, method)
-        if not server.was_late and all(bodies):  # an empty one: rejected, as a connect took too long
+            bodies = await request_in_sequence(harness, method)
+        if not server.has_skipped_duplicate and all(bodies):  # an empty body: rejected after a slow connect
             return bodies
     raise TimeoutError("the machine is too busy for this case")
 
 
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("delay_s", DELAYS_S)
-def test_a_late_second_answer_reaches_no_other_request(delay_s: float, form: str) -> None:
-    """Guards against one second answer that gives every later client the body of the request before."""
+def test_a_delayed_duplicate_response_reaches_no_other_request(delay_s: float, form: str) -> None:
+    """Guards against a duplicate response after which every later client gets the previous request's body."""
 
-    async def story() -> list[list[bytes]]:
+    async def run_cases() -> list[list[bytes]]:
         cases = [
-            DoublingServer(delay_s, late_s, form, frozenset([first]))
-            for late_s, first in itertools.product((*LATENESSES_S, None), (0, 2))
+            DuplicatingServer(delay_s, duplicate_delay_s, form, frozenset([first]))
+            for duplicate_delay_s, first in itertools.product((*DUPLICATE_DELAYS_S, None), (0, 2))
         ]
-        return await asyncio.gather(*(ask_of(case) for case in cases))
+        return await asyncio.gather(*(run_case(case) for case in cases))
 
-    for bodies in asyncio.run(story()):
-        assert bodies == own_bodies()
+    for bodies in asyncio.run(run_cases()):
+        assert bodies == expected_bodies()
 
 
-def test_no_request_gets_another_ones_answer_while_every_answer_is_sent_twice() -> None:
-    """Guards against crossings on later connections, which the first second answer does not show."""
+def test_no_request_gets_another_requests_response_while_every_response_is_sent_twice() -> None:
+    """Guards against wrong responses on later connections, which a single duplicate does not cause."""
 
-    async def story() -> list[list[bytes]]:
-        cases = [DoublingServer(delay_s, late_s) for delay_s in DELAYS_S for late_s in (*LATENESSES_S, None)]
-        return await asyncio.gather(*(ask_of(case) for case in cases))
+    async def run_cases() -> list[list[bytes]]:
+        cases = [
+            DuplicatingServer(delay_s, duplicate_delay_s)
+            for delay_s in DELAYS_S
+            for duplicate_delay_s in (*DUPLICATE_DELAYS_S, None)
+        ]
+        return await asyncio.gather(*(run_case(case) for case in cases))
 
-    for bodies in asyncio.run(story()):
-        assert bodies == own_bodies()
+    for bodies in asyncio.run(run_cases()):
+        assert bodies == expected_bodies()
 
 
-def test_no_write_gets_another_ones_answer() -> None:
-    """Guards against a write that is acknowledged by the answer to the write before."""
+def test_no_write_gets_another_writes_response() -> None:
+    """Guards against a write that is acknowledged by the response to the write before."""
 
-    async def story() -> list[list[bytes]]:
-        cases = [DoublingServer(0.03, late_s, doubled=frozenset([0])) for late_s in (*LATENESSES_S, None)]
-        return await asyncio.gather(*(ask_of(case, "PUT") for case in cases))
+    async def run_cases() -> list[list[bytes]]:
+        cases = [
+            DuplicatingServer(0.03, duplicate_delay_s, duplicated=frozenset([0]))
+            for duplicate_delay_s in (*DUPLICATE_DELAYS_S, None)
+        ]
+        return await asyncio.gather(*(run_case(case, "PUT") for case in cases))
 
-    for bodies in asyncio.run(story()):
-        assert bodies == own_bodies("bid")
+    for bodies in asyncio.run(run_cases()):
+        assert bodies == expected_bodies("bid")
 
 
-def test_no_health_check_gets_another_answer() -> None:
-    """Guards against a load report that is another answer's."""
+def test_no_health_check_gets_another_health_checks_response() -> None:
+    """Guards against a load report that belongs to another health check's response."""
 
-    async def probe_in_turn(case: DoublingServer) -> list[float]:
-        for _ in range(MAX_PLAYS):
-            server = DoublingServer(case.delay_s, case.late_s)
+    async def probe_until_on_time(case: DuplicatingServer) -> list[float]:
+        for _ in range(MAX_RUNS):
+            server = DuplicatingServer(case.delay_s, case.duplicate_delay_s)
             loads, timed_out = await probe(server)
-            if not (server.was_late or timed_out):
+            if not (server.has_skipped_duplicate or timed_out):
                 return loads
         raise TimeoutError("the machine is too busy for this case")
 
-    async def probe(server: DoublingServer) -> tuple[list[float], list[api.Status]]:
+    async def probe(server: DuplicatingServer) -> tuple[list[float], list[api.Status]]:
         loads: list[float] = []
         timed_out: list[api.Status] = []
         async with running(ScriptedServer(server.script)) as (_, director):
             for number in range(REQUESTS):
 
-                def take(status: api.Status, elapsed_ms: float, report: Any) -> None:
+                def record_result(status: api.Status, elapsed_ms: float, report: Any) -> None:
                     timed_out.extend([status] * (status is api.Status.TIMEOUT))
                     loads.append(report["util"] if report else -1.0)
 
-                director.connection_pool.probe("c1", take)
+                director.connection_pool.probe("c1", record_result)
                 await wait_until(lambda number=number: len(loads) > number)  # type: ignore[misc]
         return loads, timed_out
 
-    async def story() -> list[list[float]]:
+    async def run_cases() -> list[list[float]]:
         return await asyncio.gather(
-            *(probe_in_turn(DoublingServer(0.02, late_s)) for late_s in (*LATENESSES_S, None))
+            *(
+                probe_until_on_time(DuplicatingServer(0.02, duplicate_delay_s))
+                for duplicate_delay_s in (*DUPLICATE_DELAYS_S, None)
+            )
         )
 
-    for loads in asyncio.run(story()):
+    for loads in asyncio.run(run_cases()):
         assert loads == [number / 100 for number in range(REQUESTS)]
 
 
-def test_a_second_answer_reaches_no_other_request_while_no_further_connection_may_be_opened() -> None:
-    """Guards against resting connections that are used early because the limit of connections is reached."""
+def test_a_duplicate_response_reaches_no_other_request_at_the_connection_limit() -> None:
+    """Guards against connections that are reused too early because the limit of connections is reached."""
 
-    async def story() -> tuple[list[bytes], int]:
-        server, bodies = DoublingServer(0.01, 0.02), []
+    async def run_cases() -> tuple[list[bytes], int]:
+        server, bodies = DuplicatingServer(0.01, 0.02), []
         async with running(ScriptedServer(server.script)) as (harness, director):
             director.connection_pool.max_connections = MAX_CONNECTIONS
             for first in range(1, KEYS, BATCH):
-                bodies += await ask_together(harness, range(first, first + BATCH))
+                bodies += await request_concurrently(harness, range(first, first + BATCH))
         return bodies, len(server.tasks)
 
-    for _ in range(MAX_PLAYS):
-        bodies, second_answers = asyncio.run(story())
-        if all(bodies):  # an empty one: rejected, as a connect took too long
+    for _ in range(MAX_RUNS):
+        bodies, duplicate_count = asyncio.run(run_cases())
+        if all(bodies):  # an empty body: rejected after a slow connect
             break
-    assert bodies == [own_body(f"/o/lot-page/{key:x}/0") for key in range(1, KEYS)]
-    assert second_answers == len(bodies)
+    assert bodies == [expected_body(f"/o/lot-page/{key:x}/0") for key in range(1, KEYS)]
+    assert duplicate_count == len(bodies)
 
 
-def ask_of_late_server(doubled: frozenset[int] | None) -> tuple[list[bool], int]:
-    """Which answers were another request's, in rounds at a server whose second answers outlast the rest."""
+def find_wrong_bodies(duplicated: frozenset[int] | None) -> tuple[list[bool], int]:
+    """Sends rounds of requests to a server whose duplicate responses are sent after the reuse delay.
 
-    async def story() -> tuple[list[bytes], int]:
-        server = DoublingServer(0.03, 1.5 * REUSE_DELAY_MS / 1000.0, doubled=doubled, max_late_s=1.0)
+    Returns for each request whether it got a wrong body, and the number of reads with surplus bytes.
+    """
+
+    async def run_cases() -> tuple[list[bytes], int]:
+        server = DuplicatingServer(
+            0.03, 1.5 * REUSE_DELAY_MS / 1000.0, duplicated=duplicated, max_duplicate_delay_s=1.0
+        )
         async with running(ScriptedServer(server.script)) as (harness, director):
-            bodies = [body for _ in range(ROUNDS) for body in await ask_in_turn(harness)]
+            bodies = [body for _ in range(ROUNDS) for body in await request_in_sequence(harness)]
             return bodies, director.counters["caches.surplus"]
 
-    bodies, surplus = asyncio.run(story())
-    return [body != own for body, own in zip(bodies, own_bodies() * ROUNDS, strict=True)], surplus
+    bodies, surplus_count = asyncio.run(run_cases())
+    return [
+        body != expected for body, expected in zip(bodies, expected_bodies() * ROUNDS, strict=True)
+    ], surplus_count
 
 
-def test_a_second_answer_that_outlasts_the_rest_reaches_one_request_at_most() -> None:
-    """Guards against a shift that goes on: the right answer, read while its connection rests, ends it."""
-    is_wrong, surplus = ask_of_late_server(frozenset([0]))
+def test_a_duplicate_response_after_the_reuse_delay_reaches_one_request_at_most() -> None:
+    """Guards against a connection on which each request gets the response to the one before.
+
+    The right response to the first affected request is received during the reuse delay, so that the director
+    closes the connection.
+    """
+    is_wrong, surplus_count = find_wrong_bodies(frozenset([0]))
     assert sum(is_wrong) <= 1
-    assert surplus == 1
+    assert surplus_count == 1
 
 
-def test_connections_rest_for_longer_once_a_second_answer_has_outlasted_their_rest() -> None:
-    """Guards against a server that gives one wrong answer after another because its answers come later."""
-    is_wrong, surplus = ask_of_late_server(None)
+def test_a_duplicate_response_after_the_reuse_delay_extends_the_delay() -> None:
+    """Guards against repeated wrong responses of a server whose duplicates exceed the first reuse delay."""
+    is_wrong, surplus_count = find_wrong_bodies(None)
     assert not any(is_wrong[2 * REQUESTS :])
-    assert surplus > 0
+    assert surplus_count > 0
 
 
-def test_a_request_does_not_wait_for_a_slow_connection_once_another_has_rested(
+def test_a_request_does_not_wait_for_a_slow_connect_once_another_connection_is_reusable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against requests that wait for a new connection, which comes up late, beside a rested one."""
+    """Guards against requests that wait for a slow connect although another connection may be reused."""
 
-    async def story() -> tuple[list[bytes], int, float]:
-        server = DoublingServer(0.0, 0.0, doubled=frozenset())
+    async def run_cases() -> tuple[list[bytes], int, float]:
+        server = DuplicatingServer(0.0, 0.0, duplicated=frozenset())
         async with running(ScriptedServer(server.script)) as (harness, director):
             loop = asyncio.get_running_loop()
             reader, writer = await harness.connect()
             bodies = []
             for key in (1, 2):
-                began_s = loop.time()
+                started_s = loop.time()
                 writer.write(encode_request(f"/invoke/lot-page/{key:x}"))
                 bodies.append((await read_message(reader)).body)
-                monkeypatch.setattr(loop, "create_connection", slow_connects(loop.create_connection))
-            took_s = loop.time() - began_s
+                monkeypatch.setattr(loop, "create_connection", delay_connects(loop.create_connection))
+            duration_s = loop.time() - started_s
             writer.close()
             await wait_until(lambda: len(director.connection_pool.servers["c1"].idle) == 2)
-            return bodies, director.counters["caches.rested_first"], took_s
+            return bodies, director.counters["caches.rested_first"], duration_s
 
-    bodies, rested_first, took_s = asyncio.run(story())
-    assert bodies == own_bodies()[:2]
-    assert rested_first == 1
-    assert took_s < SLOW_CONNECT_S
+    bodies, reused_first, duration_s = asyncio.run(run_cases())
+    assert bodies == expected_bodies()[:2]
+    assert reused_first == 1
+    assert duration_s < SLOW_CONNECT_S
 
 
-def slow_connects(connect: Any) -> Any:
+def delay_connects(connect: Any) -> Any:
     async def connect_slowly(*arguments: Any, **more: Any) -> Any:
         await asyncio.sleep(SLOW_CONNECT_S)
         return await connect(*arguments, **more)
