--- a/gladewalk/upstream/http2_transport.py
+++ b/gladewalk/upstream/http2_transport.py
@@ -121,7 +121,7 @@
     # Receive windows (RFC 9113, section 5.2).
 
     def credit_connection(self, received_bytes: int) -> None:
-        """Opens the connection's window again for received bytes: slow clients must not stall other streams."""
+        """Opens the connection's window again: a slow client must not stall the other streams."""
         self._uncredited_bytes += received_bytes
         if self._uncredited_bytes >= self._connection_credit_step:
             self.engine.increment_flow_control_window(self._uncredited_bytes)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""What comes between two lines: requests, ends and signals that cross a stop or a close, each forced.
+"""Races of requests, disconnects and signals with a shutdown or a close, each forced to happen.
 
-Nothing is waited for by guess: bytes are written with no turn of the loop in between, scripted caches hold
-their answers until told, and the end of the accepting time is called as its deadline calls it.
+No test relies on timing. Bytes are written without an event-loop iteration in between, scripted caches delay
+their responses until an event is set, and the end of the accepting time is called as its deadline calls it.
 """
 
 import asyncio
@@ -24,118 +24,118 @@
 from .program import start_program
 from .server_scripts import BYTES, hit, hit_after, running
 
-LARGE = bytes(range(256)) * 192  # more than small socket buffers hold, less than makes a writer wait
+LARGE = bytes(range(256)) * 192  # more than the small socket buffers, less than what pauses a writer
 
 
-def in_two_pieces(release: asyncio.Event) -> Http1Script:
-    """A script whose answer goes on once `release` is set."""
+def respond_in_two_pieces(release: asyncio.Event) -> Http1Script:
+    """Returns a script that sends the second half of its response once `release` is set."""
 
-    async def script(heard: ReceivedRequest) -> None:
-        heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc")
+    async def script(request: ReceivedRequest) -> None:
+        request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc")
         await release.wait()
-        heard.writer.write(b"def")
+        request.writer.write(b"def")
 
     return script
 
 
-async def long_after(director: Director) -> None:
-    """So long that a director which does not wait would have ended."""
+async def wait_past_exit_delay(director: Director) -> None:
+    """Waits so long that a director that does not wait for open requests would have exited."""
     start = director.clock()
     await wait_until(lambda: director.clock() > start + FINAL_LINGER_MS + 10 * EXIT_DELAY_MS)
 
 
-async def expect_last_answer(reader: asyncio.StreamReader) -> None:
-    """A complete answer, which says that it is the last, and then the connection's end."""
+async def expect_last_response(reader: asyncio.StreamReader) -> None:
+    """Reads a complete response with `Connection: close`, and then the end of the connection."""
     first, fields, body = await read_message(reader)
     assert (first.split(" ")[1], fields["connection"], body) == ("200", "close", BYTES)
     assert await reader.read() == b""
 
 
-def ask_at_once(client: socket.socket, data: bytes = b"") -> None:
-    """Written with no turn of the loop in between: it lies with the system, unread."""
+def send_without_loop(client: socket.socket, data: bytes = b"") -> None:
+    """Sends a request without an event-loop iteration, so that it stays unread in the socket's buffer."""
     client.sendall(data or encode_request("/invoke/lot-page/a1"))
 
 
-async def stream_of(client: socket.socket) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def open_streams(client: socket.socket) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     client.setblocking(False)
     return await asyncio.open_connection(sock=client)
 
 
-class Stop(unittest.IsolatedAsyncioTestCase):
-    """Once the time for accepting is over: who is here is answered, and the process ends after that."""
+class Shutdown(unittest.IsolatedAsyncioTestCase):
+    """After the accepting time of a shutdown, open requests get their responses before the process exits."""
 
-    async def asked_at_the_end(self, before: Callable[[Director, socket.socket], None]) -> None:
-        """`before` is called in the moment in which the accepting time ends, with a client's socket."""
+    async def check_request_at_the_end(self, prepare: Callable[[Director, socket.socket], None]) -> None:
+        """Calls `prepare` with a client's socket just before the accepting time ends; expects a response."""
         release = asyncio.Event()
         cache = ScriptedServer(hit_after(release))
         async with running(cache) as (_, director):
             client = socket.create_connection(director.front.address)
-            before(director, client)
+            prepare(director, client)
             director._stop_accepting()
-            reader, writer = await stream_of(client)
+            reader, writer = await open_streams(client)
             await wait_until(lambda: len(cache.received) == 1)
-            await long_after(director)
+            await wait_past_exit_delay(director)
             assert not director._ended.done()
             release.set()
-            await expect_last_answer(reader)
+            await expect_last_response(reader)
             writer.close()
             await director._ended
 
-    async def test_who_waits_unaccepted_is_answered(self) -> None:
-        await self.asked_at_the_end(lambda director, client: ask_at_once(client))
+    async def test_a_request_on_an_unaccepted_connection_gets_a_response(self) -> None:
+        await self.check_request_at_the_end(lambda director, client: send_without_loop(client))
 
-    async def test_who_is_accepted_but_not_set_up_is_answered(self) -> None:
-        def before(director: Director, client: socket.socket) -> None:
-            ask_at_once(client)
+    async def test_a_request_on_a_connection_accepted_but_not_set_up_gets_a_response(self) -> None:
+        def prepare(director: Director, client: socket.socket) -> None:
+            send_without_loop(client)
             director.front.accept()
 
-        await self.asked_at_the_end(before)
+        await self.check_request_at_the_end(prepare)
 
-    async def test_a_request_that_lies_unread_is_answered(self) -> None:
+    async def test_an_unread_request_gets_a_response(self) -> None:
         cache = ScriptedServer(hit)
-        async with running(cache) as (world, director):
-            reader, writer = await world.connect()
+        async with running(cache) as (harness, director):
+            reader, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             await read_message(reader)
             os.write(writer.get_extra_info("socket").fileno(), encode_request("/invoke/lot-page/a2"))
             director._stop_accepting()
-            await expect_last_answer(reader)
+            await expect_last_response(reader)
             writer.close()
             await director._ended
 
-    async def test_half_a_request_has_its_time_to_come_whole(self) -> None:
-        async with running(ScriptedServer(hit)) as (world, director):
-            reader, writer = await world.connect()
-            whole = encode_request("/invoke/lot-page/a1")
-            writer.write(whole[:-9])
+    async def test_a_partial_request_may_be_completed_within_its_time(self) -> None:
+        async with running(ScriptedServer(hit)) as (harness, director):
+            reader, writer = await harness.connect()
+            message = encode_request("/invoke/lot-page/a1")
+            writer.write(message[:-9])
             await wait_until(
                 lambda: any(connection.has_partial_request for connection in director.front.awaiting)
             )
             director._stop_accepting()
-            await long_after(director)
+            await wait_past_exit_delay(director)
             assert not director._ended.done()
-            writer.write(whole[-9:])
+            writer.write(message[-9:])
             assert " 200 " in (await read_message(reader))[0]
             assert await reader.read() == b""
             writer.close()
             await director._ended
 
-    async def test_who_rests_sees_an_end_and_what_crosses_it_is_not_taken(self) -> None:
+    async def test_an_idle_connection_is_closed_and_a_request_sent_meanwhile_is_not_accepted(self) -> None:
         cache = ScriptedServer(hit)
-        async with running(cache) as (world, director):
-            reader, writer = await world.connect()
+        async with running(cache) as (harness, director):
+            reader, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             await read_message(reader)
             director._stop_accepting()
             writer.write(encode_request("/invoke/lot-page/a2"))
-            assert await reader.read() == b""  # an end, and no reset
+            assert await reader.read() == b""  # closed, and not reset
             writer.close()
             await director._ended
             assert (len(cache.received), director.counters["requests.taken"]) == (1, 1)
 
-    async def test_who_says_nothing_more_holds_no_process_up(self) -> None:
-        async with running(ScriptedServer(hit)) as (world, director):
-            clients = [await world.connect() for _ in range(3)]
+    async def test_a_client_that_sends_nothing_does_not_delay_the_exit(self) -> None:
+        async with running(ScriptedServer(hit)) as (harness, director):
+            clients = [await harness.connect() for _ in range(3)]
             await wait_until(lambda: len(director.front.awaiting) == 3)
             director._stop_accepting()
             await director._ended
@@ -143,9 +143,9 @@
                 assert await reader.read() == b""
                 writer.close()
 
-    async def test_an_answer_that_its_client_reads_slowly_comes_whole(self) -> None:
-        async def large(heard: ReceivedRequest) -> None:
-            await heard.answer(200, LARGE)
+    async def test_a_slowly_read_response_is_sent_completely(self) -> None:
+        async def large(request: ReceivedRequest) -> None:
+            await request.answer(200, LARGE)
 
         async with running(ScriptedServer(large)) as (_, director):
             front, client = director.front, socket.socket()
@@ -157,44 +157,44 @@
             assert connection.transport is not None
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            ask_at_once(client)
+            send_without_loop(client)
             await wait_until(lambda: director.counters["answers.served"] == 1)
-            assert connection.transport.get_write_buffer_size() > 0  # owed to nobody's knowledge
+            assert connection.transport.get_write_buffer_size() > 0  # served, but not written completely
             front._evict_one()
             assert not connection.is_evicted
             director._stop_accepting()
-            await long_after(director)
+            await wait_past_exit_delay(director)
             assert not director._ended.done()
-            reader, writer = await stream_of(client)
+            reader, writer = await open_streams(client)
             assert (await read_message(reader))[2] == LARGE
             writer.close()
             await director._ended
 
 
-class Ends(unittest.IsolatedAsyncioTestCase):
-    """Ends of connections, from either side, that cross requests and answers."""
+class ClosedConnections(unittest.IsolatedAsyncioTestCase):
+    """Connections that are closed by either side while a request or response is in flight."""
 
-    async def test_a_request_behind_a_last_answer_is_not_taken_and_resets_nothing(self) -> None:
+    async def test_a_request_after_the_last_response_is_not_accepted_and_causes_no_reset(self) -> None:
         release = asyncio.Event()
-        cache = ScriptedServer(in_two_pieces(release))
-        async with running(cache) as (world, director):
+        cache = ScriptedServer(respond_in_two_pieces(release))
+        async with running(cache) as (harness, director):
             director.readiness.start_drain(director.clock())
-            reader, writer = await world.connect()
+            reader, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             release.set()
             assert b"Connection: close" in await reader.readuntil(b"\r\n\r\n")
             writer.write(encode_request("/invoke/lot-page/a2"))
             (connection,) = director.front.connections
-            await wait_until(connection.is_input_empty)  # it has come, and been read
+            await wait_until(connection.is_input_empty)  # the second request was received and read
             assert await reader.read() == b"abcdef"
             writer.close()
             assert (len(cache.received), director.counters["requests.taken"]) == (1, 1)
 
-    async def test_a_client_that_leaves_is_seen_though_it_is_not_read(self) -> None:
+    async def test_a_disconnect_is_noticed_while_reading_is_paused(self) -> None:
         release = asyncio.Event()
         cache = ScriptedServer(hit_after(release))
-        async with running(cache) as (world, director):
-            _, writer = await world.connect()
+        async with running(cache) as (harness, director):
+            _, writer = await harness.connect()
             for name in ("a1", "a2", "a3"):
                 writer.write(encode_request(f"/invoke/lot-page/{name}"))
             connections = director.front.connections
@@ -202,44 +202,46 @@
                 lambda: any(c.is_reading_paused for c in connections) and len(cache.received) == 1
             )
             writer.close()
-            await wait_until(lambda: not director.exchange.open_requests, 2.0)  # and not once its time is up
+            # The limit is below the request's own deadline, which would also end it.
+            await wait_until(lambda: not director.exchange.open_requests, 2.0)
             assert director.counters["requests.left_by_client"] == 1
             assert (len(cache.received), director.counters["requests.taken"]) == (1, 1)
 
-    async def test_a_request_whose_client_has_left_before_it_was_read_is_not_sent_on(self) -> None:
+    async def test_an_unread_request_of_a_disconnected_client_is_not_forwarded(self) -> None:
         cache = ScriptedServer(hit)
         async with running(cache) as (_, director):
             with socket.create_connection(director.front.address) as client:
-                ask_at_once(client)  # it waits unaccepted, and is closed before the loop's next turn
+                # The client disconnects before the next event-loop iteration accepts its connection.
+                send_without_loop(client)
             await wait_until(lambda: director.counters["clients.left_unread"] == 1)
             await wait_until(lambda: not director.front.connections)
             assert (len(cache.received), director.counters["requests.taken"]) == (0, 0)
             assert director.front.descriptor_count == 0
 
-    async def test_a_client_that_leaves_while_its_request_is_held_or_dialled_is_not_sent_on(self) -> None:
+    async def test_a_buffered_request_of_a_disconnected_client_is_not_forwarded(self) -> None:
         cache = ScriptedServer(hit)
-        async with running(cache, coordinator=Coordinator(may_answer=asyncio.Event())) as (world, director):
-            _, writer = await world.connect()
+        async with running(cache, coordinator=Coordinator(may_answer=asyncio.Event())) as (harness, director):
+            _, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             await wait_until(lambda: len(director.exchange.held_requests or ()) == 1)
             writer.close()
             await wait_until(lambda: not director.front.connections)
-            assert world.coordinator.may_answer is not None
-            world.coordinator.may_answer.set()
+            assert harness.coordinator.may_answer is not None
+            harness.coordinator.may_answer.set()
             await wait_until(lambda: director.exchange.held_requests is None)
             await wait_until(lambda: not director.exchange.open_requests)
             assert (len(cache.received), director.counters["attempts.written"]) == (0, 0)
 
-    async def test_nothing_is_said_within_another_answer(self) -> None:
+    async def test_no_interim_response_is_sent_within_another_response(self) -> None:
         release = asyncio.Event()
-        async with running(ScriptedServer(in_two_pieces(release))) as (world, director):
-            reader, writer = await world.connect()
+        async with running(ScriptedServer(respond_in_two_pieces(release))) as (harness, director):
+            reader, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             await wait_until(lambda: len(director.front.connections) == 1)
             (connection,) = director.front.connections
             await wait_until(lambda: connection.open_number is not None)
-            behind = encode_request("/invoke/bid/b1", method="PUT", body=b"12", Expect="100-continue")
-            writer.write(behind[:-2])
+            second_request = encode_request("/invoke/bid/b1", method="PUT", body=b"12", Expect="100-continue")
+            writer.write(second_request[:-2])
             await wait_until(lambda: connection.has_partial_request and connection.has_complete_head)
             release.set()
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 OK\r\n")
@@ -247,16 +249,16 @@
             writer.close()
 
 
-class Signals(unittest.IsolatedAsyncioTestCase):
-    """A signal finds its handler, whenever it comes."""
+class SignalHandling(unittest.IsolatedAsyncioTestCase):
+    """A signal is handled whenever it is received."""
 
-    async def test_what_comes_while_the_configuration_is_read_waits_for_its_handler(self) -> None:
+    async def test_a_signal_received_while_the_configuration_is_read_is_handled_later(self) -> None:
         cache, coordinator = await ScriptedServer(hit).start(), await Coordinator().start()
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
             os.mkfifo(path)
             program = await start_program(path)
-            pipe = await asyncio.to_thread(open, path, "w")  # opened: it is about to read
+            pipe = await asyncio.to_thread(open, path, "w")  # returns once the program has opened it to read
             config = json.dumps(config_for([cache], coordinator))
             Path(folder, "next").write_text(config)
             os.replace(Path(folder, "next"), path)
@@ -277,19 +279,19 @@
         cache.stop()
         coordinator.stop()
 
-    async def test_what_comes_once_a_stop_is_through_does_not_end_the_process_otherwise(self) -> None:
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-        self.addCleanup(signal.pthread_sigmask, signal.SIG_SETMASK, before)
+    async def test_a_signal_received_after_the_shutdown_does_not_change_the_exit(self) -> None:
+        blocked_before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
+        self.addCleanup(signal.pthread_sigmask, signal.SIG_SETMASK, blocked_before)
         async with running(ScriptedServer(hit)) as (_, director):
             director._ended.set_result(None)
             asyncio.get_running_loop().call_soon(director.stop)
-            director.start = _nothing  # type: ignore[method-assign]  # it has started
+            director.start = do_nothing  # type: ignore[method-assign]  # `running` has started the director
             await director.run()
             mask = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-            assert {signal.SIGHUP, signal.SIGTERM} <= mask - before
+            assert {signal.SIGHUP, signal.SIGTERM} <= mask - blocked_before
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1):
                 asyncio.get_running_loop().remove_signal_handler(number)
 
 
-async def _nothing() -> None:
+async def do_nothing() -> None:
     pass
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -223,7 +223,7 @@
 def test_a_duplicate_response_reaches_no_other_request_at_the_connection_limit() -> None:
     """Guards against connections that are reused too early because the limit of connections is reached."""
 
-    async def run_cases() -> tuple[list[bytes], int]:
+    async def send_requests() -> tuple[list[bytes], int]:
         server, bodies = DuplicatingServer(0.01, 0.02), []
         async with running(ScriptedServer(server.script)) as (harness, director):
             director.connection_pool.max_connections = MAX_CONNECTIONS
@@ -232,7 +232,7 @@
         return bodies, len(server.tasks)
 
     for _ in range(MAX_RUNS):
-        bodies, duplicate_count = asyncio.run(run_cases())
+        bodies, duplicate_count = asyncio.run(send_requests())
         if all(bodies):  # an empty body: rejected after a slow connect
             break
     assert bodies == [expected_body(f"/o/lot-page/{key:x}/0") for key in range(1, KEYS)]
@@ -245,7 +245,7 @@
     Returns for each request whether it got a wrong body, and the number of reads with surplus bytes.
     """
 
-    async def run_cases() -> tuple[list[bytes], int]:
+    async def send_requests() -> tuple[list[bytes], int]:
         server = DuplicatingServer(
             0.03, 1.5 * REUSE_DELAY_MS / 1000.0, duplicated=duplicated, max_duplicate_delay_s=1.0
         )
@@ -253,7 +253,7 @@
             bodies = [body for _ in range(ROUNDS) for body in await request_in_sequence(harness)]
             return bodies, director.counters["caches.surplus"]
 
-    bodies, surplus_count = asyncio.run(run_cases())
+    bodies, surplus_count = asyncio.run(send_requests())
     return [
         body != expected for body, expected in zip(bodies, expected_bodies() * ROUNDS, strict=True)
     ], surplus_count
@@ -282,7 +282,7 @@
 ) -> None:
     """Guards against requests that wait for a slow connect although another connection may be reused."""
 
-    async def run_cases() -> tuple[list[bytes], int, float]:
+    async def send_requests() -> tuple[list[bytes], int, float]:
         server = DuplicatingServer(0.0, 0.0, duplicated=frozenset())
         async with running(ScriptedServer(server.script)) as (harness, director):
             loop = asyncio.get_running_loop()
@@ -298,7 +298,7 @@
             await wait_until(lambda: len(director.connection_pool.servers["c1"].idle) == 2)
             return bodies, director.counters["caches.rested_first"], duration_s
 
-    bodies, reused_first, duration_s = asyncio.run(run_cases())
+    bodies, reused_first, duration_s = asyncio.run(send_requests())
     assert bodies == expected_bodies()[:2]
     assert reused_first == 1
     assert duration_s < SLOW_CONNECT_S
