--- a/tests/golden_http2_client.py
+++ b/tests/golden_http2_client.py
@@ -10,7 +10,7 @@
 
 
 class Http2Client(asyncio.Protocol):
-    """Sends requests whenever the other side allows, and keeps the bytes that it says."""
+    """Sends requests, keeps all received bytes, and records whether the server has ended the connection."""
 
     def __init__(self) -> None:
         self.engine = H2Connection(H2Configuration(client_side=True, header_encoding="utf-8"))
--- a/tests/http2_rehearsal.py
+++ b/tests/http2_rehearsal.py
@@ -1,4 +1,4 @@
-"""What the tests of HTTP/2 share: options, a director with its servers, requests and certificates."""
+"""Helpers of the HTTP/2 tests: options, a director with stand-in servers, requests and certificates."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from gladewalk.upstream.pool import ConnectionPool
 
 BYTES = bytes(range(256)) * 64
-PATIENT_MS = 20_000.0  # a client's wait that no busy machine uses up
+PATIENT_MS = 20_000.0  # a client's wait that is long enough even on a busy machine
 
 Parameters = ParamSpec("Parameters")
 
@@ -36,7 +36,7 @@
 
 
 def options_for(mode: str = "h2c", tls: dict[str, Any] | None = None, **http2: Any) -> Options:
-    """Options as they are read from a file with these tables."""
+    """Returns the options that a file with these tables sets."""
     tables = read_option_tables({"http2": {"mode": mode, **http2}, "tls": tls or {}})
     return build_options(tables, "test.toml", Path("."))
 
@@ -47,7 +47,7 @@
     connect_timeout_ms: float = 2_000.0,
     **http2: Any,
 ) -> DirectorHarness:
-    """A director that speaks HTTP/2 to these servers; a busy machine gets time to connect."""
+    """Returns a director that uses HTTP/2 for these servers, with a connect timeout for a busy machine."""
     limits = {**SETTINGS["limits"], "connect_timeout_ms": connect_timeout_ms}
     settings = {**SETTINGS, "limits": limits}
     return DirectorHarness(servers, settings=settings, options=options or options_for(**http2))
@@ -66,39 +66,44 @@
     return director_of(rehearsal).connection_pool
 
 
-def serve(asked: Http2Request) -> None:
-    """Answers a request at a server over HTTP/2."""
-    asked.answer(200, BYTES)
+def serve(request: Http2Request) -> None:
+    """Responds to a request to a stand-in server over HTTP/2."""
+    request.answer(200, BYTES)
 
 
-async def serve_http1(heard: ReceivedRequest) -> None:
-    """Answers a request at a server over HTTP/1.1."""
-    await heard.answer(200, BYTES, X_Remark="mem")
+async def serve_http1(request: ReceivedRequest) -> None:
+    """Responds to a request to a stand-in server over HTTP/1.1."""
+    await request.answer(200, BYTES, X_Remark="mem")
 
 
 async def write(
-    rehearsal: DirectorHarness, number: int, body: bytes = b"10 boxes of hake", **more: Any
+    rehearsal: DirectorHarness, number: int, body: bytes = b"10 boxes of hake", **arguments: Any
 ) -> int:
-    """Sends a non-idempotent write with a trace id of its own; returns the status of its final answer."""
+    """Sends a non-idempotent write with its own trace id; returns the status of its final answer."""
     path = f"/invoke/bid/{number:x}"
-    return (await rehearsal.fetch(path, method="PUT", body=body, trace=ticket(number), **more))[0]
+    return (await rehearsal.fetch(path, method="PUT", body=body, trace=ticket(number), **arguments))[0]
 
 
-async def read(rehearsal: DirectorHarness, number: int, **more: Any) -> tuple[int, dict[str, str], bytes]:
-    """Sends a read with a trace id of its own, as requests that are open at the same time must have."""
-    return await rehearsal.fetch(f"/invoke/lot-page/{number:x}?nth=2", trace=ticket(number), **more)
+async def read(
+    rehearsal: DirectorHarness, number: int, **arguments: Any
+) -> tuple[int, dict[str, str], bytes]:
+    """Sends a read with its own trace id: requests that are open at the same time need different ones."""
+    return await rehearsal.fetch(f"/invoke/lot-page/{number:x}?nth=2", trace=ticket(number), **arguments)
 
 
 @cache
 def certificate_authority() -> trustme.CA:
-    """The test certificates' CA."""
+    """Returns the CA of the test certificates."""
     return trustme.CA()
 
 
 def server_context(
     *names: str, alpn: tuple[str, ...] = ("h2", "http/1.1"), client: bool = False
 ) -> ssl.SSLContext:
-    """A server's TLS context with a certificate for these names; `client`: it asks for the client's."""
+    """Returns a server's TLS context with a certificate for these names.
+
+    `client`: the server requires a client certificate.
+    """
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     certificate_authority().issue_cert(*names).configure_cert(context)
     context.set_alpn_protocols(list(alpn))
--- a/tests/server_scripts.py
+++ b/tests/server_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of stand-in cache servers that tests over loopback share."""
+"""Scripts of stand-in cache servers, shared by the tests over loopback."""
 
 import asyncio
 import contextlib
@@ -42,16 +42,16 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    *servers: StandInServer[Any], **more: Any
+    *servers: StandInServer[Any], **settings: Any
 ) -> AsyncIterator[tuple[DirectorHarness, Director]]:
-    """A director in this process with its stand-in servers, all started; all are stopped at the end."""
-    async with DirectorHarness(servers, **more) as harness:
+    """Starts a director in this process with stand-in servers, and stops them at the end."""
+    async with DirectorHarness(servers, **settings) as harness:
         assert harness.director is not None
         yield harness, harness.director
 
 
 def hit_after(release: asyncio.Event) -> Http1Script:
-    """A script that answers once `release` is set."""
+    """Returns a script that responds with a hit once `release` is set."""
 
     async def script(request: ReceivedRequest) -> None:
         await release.wait()
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -1,4 +1,4 @@
-"""Dials: those given up before they begin, and what a leaving client does to what is not yet written."""
+"""Connects that are cancelled before they begin, and clients that disconnect before an attempt is written."""
 
 import asyncio
 import socket
@@ -15,12 +15,12 @@
 from .server_scripts import hit, running
 
 
-class SameTurn(unittest.IsolatedAsyncioTestCase):
-    async def test_a_dial_given_up_before_its_first_step_holds_no_descriptor(self) -> None:
+class CancelledConnects(unittest.IsolatedAsyncioTestCase):
+    async def test_a_connect_cancelled_before_its_first_step_leaves_no_descriptor(self) -> None:
         cache = ScriptedServer(hit)
-        async with running(cache) as (world, director):
+        async with running(cache) as (harness, director):
             await wait_until(lambda: director.readiness.is_synced)
-            _, writer = await world.connect()
+            _, writer = await harness.connect()
             await wait_until(lambda: len(director.front.connections) == 1)
             (connection,) = director.front.connections
             for _ in range(5):
@@ -28,31 +28,32 @@
                 assert connection.open_number is not None
                 number, connection.open_number = connection.open_number, None
                 connection._release_request()
-                director.exchange.client_disconnected(number)  # no turn of the loop in between
+                director.exchange.client_disconnected(number)  # without an event-loop iteration in between
             await wait_until(lambda: not director.exchange.open_requests)
             assert director.counters["caches.connects"] == 5
             await wait_until(lambda: not director.connection_pool.opener.opening, 2.0)
             writer.close()
-            assert (await world.fetch())[0] == 200
+            assert (await harness.fetch())[0] == 200
 
 
-class Left(unittest.IsolatedAsyncioTestCase):
-    async def test_a_client_whose_end_lies_unread_is_sent_nothing_more(self) -> None:
-        """Its end has come to the machine, and the loop has not read it when the next attempt is due."""
+class DisconnectedClients(unittest.IsolatedAsyncioTestCase):
+    async def test_no_attempt_is_sent_after_an_unread_disconnect(self) -> None:
+        """The client's FIN has been received, but not read by the event loop, when its request is sent."""
         cache = ScriptedServer(hit)
-        async with running(cache) as (world, director):
+        async with running(cache) as (harness, director):
             await wait_until(lambda: director.readiness.is_synced)
-            assert (await world.fetch())[0] == 200  # its connection to the cache rests
+            assert (await harness.fetch())[0] == 200  # leaves an idle connection to the cache
             await wait_until(lambda: not director.front.connections)
             client = socket.create_connection(director.front.address)
             await wait_until(lambda: len(director.front.connections) == 1)
             director.exchange.hold_requests()
             client.sendall(encode_request("/invoke/lot-page/a1"))
             await wait_until(lambda: bool(director.exchange.held_requests))
-            real = director.clock
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0  # it has waited longer than a turn
+            real_clock = director.clock
+            # By this clock, the request has waited for longer than one event-loop iteration.
+            director.exchange.clock = lambda: real_clock() + LOOP_TURN_MS + 1.0
             (connection,) = director.front.connections
-            client.close()  # and no turn of the loop from here on
+            client.close()  # from here on, there is no event-loop iteration until the request is released
             assert connection.is_disconnected()
             director.exchange.release_held()
             await wait_until(
@@ -61,35 +62,35 @@
             counters = director.counters
             assert (counters["attempts.written"], counters["requests.left_by_client"]) == (1, 1)
             assert len(cache.received) == 1
-            assert (await world.fetch())[0] == 200
+            assert (await harness.fetch())[0] == 200
 
-    async def test_who_leaves_while_its_dial_is_late_is_sent_nothing(self) -> None:
+    async def test_no_attempt_is_sent_after_a_disconnect_during_a_slow_connect(self) -> None:
         cache = ScriptedServer(hit)
         async with running(cache) as (_, director):
             await wait_until(lambda: director.readiness.is_synced)
-            loop, up = asyncio.get_running_loop(), asyncio.Event()
-            real_connect, real = loop.create_connection, director.clock
+            loop, may_finish = asyncio.get_running_loop(), asyncio.Event()
+            real_connect, real_clock = loop.create_connection, director.clock
 
-            async def late(*args: Any, **more: Any) -> Any:
+            async def connect_slowly(*args: Any, **more: Any) -> Any:
                 opened = await real_connect(*args, **more)
-                await up.wait()
+                await may_finish.wait()
                 return opened
 
             client = socket.create_connection(director.front.address)
             await wait_until(lambda: len(director.front.connections) == 1)
             (connection,) = director.front.connections
-            loop.create_connection = late  # type: ignore[method-assign]
+            loop.create_connection = connect_slowly  # type: ignore[method-assign]
             client.sendall(encode_request("/invoke/lot-page/a1"))
-            # It is open, and its dial has not taken it.
+            # The connection is open, but the task that opened it has not continued.
             await wait_until(lambda: len(director.connection_pool.open_connections) == 1)
             (upstream,) = director.connection_pool.open_connections
-            (dial,) = director.connection_pool.opener.opening
-            assert isinstance(dial, ConnectionRequest) and isinstance(upstream, Http1Connection)
-            director.exchange.clock = lambda: real() + LOOP_TURN_MS + 1.0
+            (request,) = director.connection_pool.opener.opening
+            assert isinstance(request, ConnectionRequest) and isinstance(upstream, Http1Connection)
+            director.exchange.clock = lambda: real_clock() + LOOP_TURN_MS + 1.0
             client.close()
             assert connection.is_disconnected()
-            director.connection_pool.write(upstream, dial.item)  # as the dial's next step does
-            up.set()
+            director.connection_pool.write(upstream, request.item)  # as the task's next step does
+            may_finish.set()
             await wait_until(
                 lambda: not director.exchange.open_requests and not director.connection_pool.opener.opening
             )
--- a/tests/test_golden_upstream.py
+++ b/tests/test_golden_upstream.py
@@ -1,7 +1,7 @@
-"""The caches' protocol byte for byte, as version 090a370 has it: answers read, frames sent, counters.
+"""The caches' protocol, byte for byte as in version 090a370: responses read, frames sent, counters.
 
-The data in `golden/upstream_*.json` was written by that version. Requests over HTTP/1.1 are held by
-`test_golden_exchange`.
+The data in `golden/upstream_*.json` was written by that version. `test_golden_exchange` checks the requests
+over HTTP/1.1.
 """
 
 import asyncio
@@ -57,7 +57,7 @@
     return Attempt(opened, 0, order or api.Fetch(1, "c1", "p1"), NOW_MS, NOW_MS + 2500.4)
 
 
-# What a complete answer says of its attempt.
+# The result of an attempt by its complete response.
 
 FIELDS: list[dict[str, str]] = [
     {},
@@ -72,7 +72,7 @@
 ]  # fmt: skip
 
 
-def results() -> list[Any]:
+def read_results() -> list[Any]:
     return [
         [status, fields, result_row(read_result(status, {k.encode(): v.encode() for k, v in fields.items()}))]
         for status in (200, 304, 404, 400, 429, 500, 503, 504)
@@ -80,15 +80,15 @@
     ]
 
 
-def test_complete_answers_are_read_as_before() -> None:
-    assert json.loads(json.dumps(results())) == golden("ends")
+def test_complete_responses_have_the_recorded_results() -> None:
+    assert json.loads(json.dumps(read_results())) == golden("ends")
 
 
-# Answers over HTTP/1.1, whole and broken.
+# Responses over HTTP/1.1, complete and invalid.
 
 
 class RecordingExchange:
-    """Notes what of an answer is passed on."""
+    """Records the parts of a response that are forwarded."""
 
     def __init__(self, events: list[Any]) -> None:
         self.events = events
@@ -103,7 +103,7 @@
 
 
 class RecordingPool:
-    """Stands for the pool and for the one server behind it."""
+    """A stand-in for the pool and for its only server."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -132,15 +132,15 @@
     def finish(self, item: Any, end: AttemptResult) -> None:
         self.events.append(["end", *result_row(end)])
 
-    def fall_back(self, upstream: Any, why: str) -> None:
+    def fall_back(self, server: Any, reason: str) -> None:
         self.events.append(["speaks HTTP/1.1"])
 
 
 class RecordingTransport:
-    """Takes what is written, all of it at once or none."""
+    """A transport that keeps all written bytes; its reported buffer size can be set."""
 
     def __init__(self, events: list[Any]) -> None:
-        self.events, self.written, self.unsent = events, b"", 0
+        self.events, self.written, self.unsent_bytes = events, b"", 0
         self.socket, self.other = socket.socketpair()
 
     def get_extra_info(self, name: str) -> Any:
@@ -150,7 +150,7 @@
         self.written += data
 
     def get_write_buffer_size(self) -> int:
-        return self.unsent
+        return self.unsent_bytes
 
     def set_write_buffer_limits(self, high: int, low: int) -> None:
         pass
@@ -176,7 +176,7 @@
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTag: 4be0\r\n\r\n"
-ANSWERS: dict[str, list[bytes]] = {
+HTTP1_RESPONSES: dict[str, list[bytes]] = {
     "whole": [GOOD],
     "byte by byte": [bytes([byte]) for byte in GOOD],
     "chunked": [CHUNKED, b"3\r\nabc\r\n", b"0\r\n\r\n"],
@@ -206,37 +206,37 @@
 }
 
 
-def read_answer(reads: list[bytes], probe: bool = False, unsent: int = 0) -> Any:
-    """What comes of an answer that is read in these parts; an empty one stands for the connection's end."""
+def read_response(pieces: list[bytes], is_health_check: bool = False, unsent_bytes: int = 0) -> Any:
+    """Returns the events and counters of a response read in these pieces; an empty one ends the connection."""
     pool = RecordingPool()
     transport = RecordingTransport(pool.events)
     connection = Http1Connection(cast(Any, pool))
     connection.connection_made(cast(Any, transport))
     check = HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
-    connection.send(check if probe else attempt())
-    transport.unsent = unsent
-    for part in reads:
-        if part:
-            connection.data_received(part)
+    connection.send(check if is_health_check else attempt())
+    transport.unsent_bytes = unsent_bytes
+    for piece in pieces:
+        if piece:
+            connection.data_received(piece)
         else:
             connection.connection_lost(None)
     events = [["body", len(e[1])] if e[0] == "body" and len(e[1]) > 99 else e for e in pool.events]
     return {"events": events, "counters": dict(pool.counters)}
 
 
-def http1_answers() -> dict[str, Any]:
-    found = {name: read_answer(reads) for name, reads in ANSWERS.items()}
-    found["lost, not all written"] = read_answer([b""], unsent=1)
-    found["probe"] = read_answer([GOOD], probe=True)
-    found["probe shed"] = read_answer(ANSWERS["shed"], probe=True)
-    return found
+def record_http1_responses() -> dict[str, Any]:
+    recorded = {name: read_response(pieces) for name, pieces in HTTP1_RESPONSES.items()}
+    recorded["lost, not all written"] = read_response([b""], unsent_bytes=1)
+    recorded["probe"] = read_response([GOOD], is_health_check=True)
+    recorded["probe shed"] = read_response(HTTP1_RESPONSES["shed"], is_health_check=True)
+    return recorded
 
 
-def test_answers_over_http1_are_read_as_before() -> None:
-    assert json.loads(json.dumps(http1_answers())) == golden("http1_answers")
+def test_http1_responses_are_read_as_recorded() -> None:
+    assert json.loads(json.dumps(record_http1_responses())) == golden("http1_answers")
 
 
-def test_a_probe_is_asked_as_before() -> None:
+def test_a_health_check_is_sent_as_recorded() -> None:
     check = HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
     assert encode_health_check(check).decode() == golden("probe")
 
@@ -245,7 +245,7 @@
 
 
 class Http2Server:
-    """The server's side of one connection, in memory."""
+    """The server side of one HTTP/2 connection, in memory."""
 
     def __init__(self, **options: Any) -> None:
         self.pool = RecordingPool()
@@ -259,12 +259,12 @@
         self.connection.connection_made(cast(Any, self.transport))
         self.server = H2Connection(H2Configuration(client_side=False, header_encoding=None))
         self.server.initiate_connection()
-        self.seen = b""
+        self.sent_data = b""
 
     def take_sent(self) -> bytes:
         """Returns what the director has sent since the last call."""
         new, self.transport.written = self.transport.written, b""
-        self.seen += new
+        self.sent_data += new
         return new
 
     def receive(self) -> list[Any]:
@@ -282,45 +282,45 @@
 }
 
 
-async def frames() -> dict[str, Any]:
-    """What each request is on the wire, after the greeting; and the second of its kind, from the table."""
-    found = {}
-    for name, made in REQUESTS.items():
+async def record_frames() -> dict[str, Any]:
+    """Returns the bytes of the preface, the settings, each request, and its repetition with indexed fields."""
+    recorded = {}
+    for name, given_attempt in REQUESTS.items():
         peer = Http2Server()
         steps = [peer.take_sent().hex()]
-        peer.server.receive_data(peer.seen)
+        peer.server.receive_data(peer.sent_data)
         peer.reply()
         steps.append(peer.take_sent().hex())
         for _ in range(2):
-            job = made or HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
-            peer.connection.send(job)
+            item = given_attempt or HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
+            peer.connection.send(item)
             steps.append(peer.take_sent().hex())
-        found[name] = steps
-    return found
+        recorded[name] = steps
+    return recorded
 
 
-def test_requests_over_http2_are_the_same_frames() -> None:
-    assert asyncio.run(frames()) == golden("http2_frames")
+def test_requests_over_http2_are_sent_as_the_recorded_frames() -> None:
+    assert asyncio.run(record_frames()) == golden("http2_frames")
 
 
-def good_head(server: H2Connection, stream: int, *more: tuple[str, str]) -> None:
-    server.send_headers(stream, [(":status", "200"), ("content-length", "3"), ("tag", "4be0"), *more])
+def send_head(server: H2Connection, stream: int, *extra_fields: tuple[str, str]) -> None:
+    server.send_headers(stream, [(":status", "200"), ("content-length", "3"), ("tag", "4be0"), *extra_fields])
 
 
-def complete(server: H2Connection, stream: int) -> None:
-    good_head(server, stream, ("x-remark", "mem"), ("x-meter", METER.decode()))
+def send_complete_response(server: H2Connection, stream: int) -> None:
+    send_head(server, stream, ("x-remark", "mem"), ("x-meter", METER.decode()))
     server.send_data(stream, b"abc", end_stream=True)
 
 
-def bad_length(server: H2Connection, stream: int) -> None:
+def send_invalid_length(server: H2Connection, stream: int) -> None:
     server.send_headers(stream, [(":status", "200"), ("content-length", "3x")])
 
 
-def too_great(server: H2Connection, stream: int) -> None:
+def send_excessive_length(server: H2Connection, stream: int) -> None:
     server.send_headers(stream, [(":status", "200"), ("content-length", "240001")])
 
 
-def shed(server: H2Connection, stream: int) -> None:
+def send_shed_response(server: H2Connection, stream: int) -> None:
     server.send_headers(stream, [(":status", "503"), ("x-shed", "1")], end_stream=True)
 
 
@@ -332,44 +332,44 @@
     return lambda server, stream: server.close_connection(code, last_stream_id=last)
 
 
-def begun_then_refused(server: H2Connection, stream: int) -> None:
-    good_head(server, stream)
+def refuse_after_response_began(server: H2Connection, stream: int) -> None:
+    send_head(server, stream)
     server.reset_stream(stream, ErrorCodes.REFUSED_STREAM)
 
 
-HTTP2_ANSWERS: dict[str, Any] = {
-    "whole": complete,
-    "bad length": bad_length,
-    "too great": too_great,
-    "shed": shed,
+HTTP2_RESPONSES: dict[str, Any] = {
+    "whole": send_complete_response,
+    "bad length": send_invalid_length,
+    "too great": send_excessive_length,
+    "shed": send_shed_response,
     "refused": reset_with(ErrorCodes.REFUSED_STREAM),
     "cancelled": reset_with(ErrorCodes.CANCEL),
     "failed": reset_with(ErrorCodes.INTERNAL_ERROR),
     "calm": reset_with(ErrorCodes.ENHANCE_YOUR_CALM),
     "HTTP/1.1": reset_with(ErrorCodes.HTTP_1_1_REQUIRED),
-    "begun then refused": begun_then_refused,
+    "begun then refused": refuse_after_response_began,
     "above the goaway": goaway(0, ErrorCodes.NO_ERROR),
     "below the goaway": goaway(2**31 - 1, ErrorCodes.NO_ERROR),
 }
 
 
-async def http2_answers() -> dict[str, Any]:
-    found = {}
-    for name, script in HTTP2_ANSWERS.items():
+async def record_http2_responses() -> dict[str, Any]:
+    recorded = {}
+    for name, script in HTTP2_RESPONSES.items():
         peer = Http2Server()
         peer.receive()
         peer.reply()
         peer.connection.send(attempt())
-        (asked,) = (event for event in peer.receive() if isinstance(event, RequestReceived))
-        script(peer.server, asked.stream_id)
+        (request,) = (event for event in peer.receive() if isinstance(event, RequestReceived))
+        script(peer.server, request.stream_id)
         peer.reply()
         reply = peer.take_sent().hex()
         peer.connection.connection_lost(None)
-        found[name] = {"events": peer.pool.events, "counters": dict(peer.pool.counters), "reply": reply}
-    for name, noise in {"not HTTP/2": b"HTTP/1.1 400 No\r\n\r\n", "flood": b""}.items():
+        recorded[name] = {"events": peer.pool.events, "counters": dict(peer.pool.counters), "reply": reply}
+    for name, invalid_data in {"not HTTP/2": b"HTTP/1.1 400 No\r\n\r\n", "flood": b""}.items():
         peer = Http2Server(control_burst=4)
         peer.receive()
-        if not noise:
+        if not invalid_data:
             peer.reply()
             peer.connection.send(attempt())
             peer.receive()
@@ -377,15 +377,15 @@
                 peer.server.ping(b"12345678")
             peer.reply()
         else:
-            peer.connection.data_received(noise)
+            peer.connection.data_received(invalid_data)
         reply = peer.take_sent().hex()
         peer.connection.connection_lost(None)
-        found[name] = {"events": peer.pool.events, "counters": dict(peer.pool.counters), "reply": reply}
-    return found
+        recorded[name] = {"events": peer.pool.events, "counters": dict(peer.pool.counters), "reply": reply}
+    return recorded
 
 
-def test_answers_over_http2_are_read_as_before() -> None:
-    assert json.loads(json.dumps(asyncio.run(http2_answers()))) == golden("http2_answers")
+def test_http2_responses_are_read_as_recorded() -> None:
+    assert json.loads(json.dumps(asyncio.run(record_http2_responses()))) == golden("http2_answers")
 
 
 @pytest.mark.parametrize("name", ["ends", "http1_answers", "http2_answers", "http2_frames"])
--- a/tests/test_http2_negotiation.py
+++ b/tests/test_http2_negotiation.py
@@ -1,4 +1,4 @@
-"""Which protocol a server is offered, and fallbacks to HTTP/1.1, over loopback."""
+"""Which protocol is offered to a server, and fallbacks to HTTP/1.1, over loopback."""
 
 from h2.errors import ErrorCodes
 
@@ -28,13 +28,13 @@
         assert await write(rehearsal, 1) == 200
         assert counters_of(rehearsal)["h2.fallbacks"] == 1
         assert await write(rehearsal, 2) == 200
-        assert counters_of(rehearsal)["h2.fallbacks"] == 1  # remembered
-    assert [heard.method for heard in server.received if heard.method != "PRI"] == ["PUT", "PUT"]
+        assert counters_of(rehearsal)["h2.fallbacks"] == 1  # the first fallback still applies
+    assert [request.method for request in server.received if request.method != "PRI"] == ["PUT", "PUT"]
 
 
 @async_test
-async def test_http_1_1_required_causes_a_fallback_for_its_time() -> None:
-    server = ScriptedHttp2Server(lambda asked: asked.reset(ErrorCodes.HTTP_1_1_REQUIRED))
+async def test_http_1_1_required_causes_a_fallback_that_expires() -> None:
+    server = ScriptedHttp2Server(lambda request: request.reset(ErrorCodes.HTTP_1_1_REQUIRED))
     other = ScriptedHttp2Server(serve, "c2", capacity=1e-6)
     async with rehearse(server, other) as rehearsal:
         assert (await rehearsal.fetch(wait_ms=PATIENT_MS))[0] == 200
@@ -53,7 +53,7 @@
 
 
 @async_test
-async def test_modes_are_chosen_by_uid_before_model() -> None:
+async def test_the_mode_of_a_uid_precedes_that_of_its_model() -> None:
     one, two = ScriptedHttp2Server(serve), ScriptedServer(serve_http1, "c2")
     options = options_for("off", by_model={"standard": "h2c"}, by_uid={"c2": "off"})
     async with rehearse(one, two, options=options) as rehearsal:
--- a/tests/test_http2_retries.py
+++ b/tests/test_http2_retries.py
@@ -1,4 +1,4 @@
-"""Which requests are retried after a stream or connection ended, over loopback."""
+"""Which requests are retried after an HTTP/2 stream or connection ended, over loopback."""
 
 import asyncio
 import socket
@@ -36,9 +36,9 @@
 async def write_to(
     script: Http2Script,
 ) -> tuple[int, ScriptedHttp2Server, ScriptedHttp2Server, dict[str, int]]:
-    """Sends one write: its first attempts meet the script, what follows is served by the origin."""
+    """Sends one write; its first attempts go to a cache with this script, later ones to the origin."""
     server = ScriptedHttp2Server(script, "c1")
-    origin = ScriptedHttp2Server(lambda asked: asked.answer(200, b"taken"), "o", "origin", "north")
+    origin = ScriptedHttp2Server(lambda request: request.answer(200, b"taken"), "o", "origin", "north")
     async with rehearse(server, origin) as rehearsal:
         status = await write(rehearsal, 1)
         return status, server, origin, counters_of(rehearsal)
@@ -46,77 +46,77 @@
 
 @async_test
 async def test_a_refused_write_is_retried() -> None:
-    status, server, origin, _ = await write_to(lambda asked: asked.reset(ErrorCodes.REFUSED_STREAM))
+    status, server, origin, _ = await write_to(lambda request: request.reset(ErrorCodes.REFUSED_STREAM))
     assert (status, len(server.received), len(origin.processed)) == (200, 1, 1)
 
 
 @pytest.mark.parametrize("code", [ErrorCodes.NO_ERROR, ErrorCodes.INTERNAL_ERROR, 4_000])
 @async_test
 async def test_a_write_above_the_goaway_is_retried_whatever_the_code(code: int) -> None:
-    status, server, origin, counts = await write_to(lambda asked: asked.connection.send_goaway(0, code))
-    # Its home server once more, then the origin: each GOAWAY proves that the write was not processed.
+    status, server, origin, counts = await write_to(lambda request: request.connection.send_goaway(0, code))
+    # The home is tried again, then the origin, as each GOAWAY proves that the write was not processed.
     assert (status, len(server.received), len(origin.processed)) == (200, 2, 1)
     assert counts["h2.ended.above_goaway"] == 2
 
 
 def process_then(end: Callable[[Http2Request], object]) -> Http2Script:
-    """Processes a request and ends it in this way without a response."""
+    """Returns a script that processes a request, then ends its stream without a response by calling `end`."""
 
-    def script(asked: Http2Request) -> None:
-        asked.process()
-        end(asked)
+    def script(request: Http2Request) -> None:
+        request.process()
+        end(request)
 
     return script
 
 
-def refuse_begun(asked: Http2Request) -> None:
-    """A contradiction: the response has begun."""
-    asked.send_headers(500, 10)
-    asked.reset(ErrorCodes.REFUSED_STREAM)
+def refuse_after_response_began(request: Http2Request) -> None:
+    """Refuses a stream whose response has begun, which contradicts it."""
+    request.send_headers(500, 10)
+    request.reset(ErrorCodes.REFUSED_STREAM)
 
 
-def close_within_goaway(asked: Http2Request) -> None:
-    asked.connection.send_goaway(asked.stream_id)
-    asked.connection.close()
+def send_goaway_and_close(request: Http2Request) -> None:
+    request.connection.send_goaway(request.stream_id)
+    request.connection.close()
 
 
-def raise_goaway(asked: Http2Request) -> None:
-    """The second GOAWAY has a higher last stream id: the first stays in force."""
-    asked.connection.send_goaway(asked.stream_id)
-    asked.connection.send_goaway(asked.stream_id + 40)
-    asked.connection.close()
+def raise_goaway(request: Http2Request) -> None:
+    """Sends a second GOAWAY with a higher last stream id; the first one stays in force."""
+    request.connection.send_goaway(request.stream_id)
+    request.connection.send_goaway(request.stream_id + 40)
+    request.connection.close()
 
 
-def close_after_first_goaway(asked: Http2Request) -> None:
+def close_after_first_goaway(request: Http2Request) -> None:
     """Ends a graceful shutdown after the first of its two GOAWAYs."""
-    asked.connection.send_goaway(GRACEFUL_LAST_STREAM_ID)
-    asked.connection.close()
-
-
-ENDS: dict[str, Callable[[Http2Request], object]] = {
-    "internal error": lambda asked: asked.reset(ErrorCodes.INTERNAL_ERROR),
-    "cancel": lambda asked: asked.reset(ErrorCodes.CANCEL),
-    "no error": lambda asked: asked.reset(ErrorCodes.NO_ERROR),
-    "HTTP/1.1 required": lambda asked: asked.reset(ErrorCodes.HTTP_1_1_REQUIRED),
-    "a TCP reset": lambda asked: asked.connection.abort(),
-    "a close": lambda asked: asked.connection.close(),
-    "begun, then refused": refuse_begun,
-    "within the GOAWAY": close_within_goaway,
+    request.connection.send_goaway(GRACEFUL_LAST_STREAM_ID)
+    request.connection.close()
+
+
+STREAM_ENDS: dict[str, Callable[[Http2Request], object]] = {
+    "internal error": lambda request: request.reset(ErrorCodes.INTERNAL_ERROR),
+    "cancel": lambda request: request.reset(ErrorCodes.CANCEL),
+    "no error": lambda request: request.reset(ErrorCodes.NO_ERROR),
+    "HTTP/1.1 required": lambda request: request.reset(ErrorCodes.HTTP_1_1_REQUIRED),
+    "a TCP reset": lambda request: request.connection.abort(),
+    "a close": lambda request: request.connection.close(),
+    "begun, then refused": refuse_after_response_began,
+    "within the GOAWAY": send_goaway_and_close,
     "a GOAWAY raised": raise_goaway,
     "a first GOAWAY, then a close": close_after_first_goaway,
 }
 
 
-@pytest.mark.parametrize("name", ENDS)
+@pytest.mark.parametrize("name", STREAM_ENDS)
 @async_test
 async def test_a_write_that_may_have_been_processed_is_not_retried(name: str) -> None:
-    status, server, origin, counts = await write_to(process_then(ENDS[name]))
+    status, server, origin, counts = await write_to(process_then(STREAM_ENDS[name]))
     assert (status, len(server.processed), len(origin.received)) == (502, 1, 0)
     assert counts["h2.goaways_raised"] == int(name == "a GOAWAY raised")
 
 
 @async_test
-async def test_streams_below_a_graceful_goaway_complete_beside_the_successor() -> None:
+async def test_streams_below_a_graceful_goaway_complete_while_a_new_connection_is_used() -> None:
     received: list[Http2Request] = []
     server, origin = ScriptedHttp2Server(received.append), ScriptedHttp2Server(serve, "o", "origin", "north")
     async with rehearse(server, origin, connections_most=1) as rehearsal:
@@ -124,18 +124,18 @@
         await wait_until(lambda: len(received) == 6)
         connection = server.open_connections[0]
         connection.send_goaway(GRACEFUL_LAST_STREAM_ID)
-        late = asyncio.create_task(write(rehearsal, 9))
+        later_request = asyncio.create_task(write(rehearsal, 9))
         await wait_until(lambda: len(received) == 7)
         assert (len(server.open_connections), received[6].connection is connection) == (2, False)
-        for asked in received[:4]:
-            asked.process()
-        assert [asked.stream_id for asked in received[:6]] == [1, 3, 5, 7, 9, 11]
+        for request in received[:4]:
+            request.process()
+        assert [request.stream_id for request in received[:6]] == [1, 3, 5, 7, 9, 11]
         connection.send_goaway(connection.last_processed_id)  # the fifth and the sixth were not processed
-        await wait_until(lambda: len(received) == 9)  # retried over the successor
-        for asked in (*received[:4], *received[6:]):
-            asked.answer(200, b"taken")
-        assert await asyncio.gather(*requests, late) == [200] * 7
-        # The first is closed when its last stream has ended.
+        await wait_until(lambda: len(received) == 9)  # both were retried on the new connection
+        for request in (*received[:4], *received[6:]):
+            request.answer(200, b"taken")
+        assert await asyncio.gather(*requests, later_request) == [200] * 7
+        # The first connection is closed when its last stream has ended.
         await wait_until(lambda: len(server.open_connections) == 1)
     assert sorted(a.ticket for a in received if a.is_processed) == [ticket(n) for n in (*range(6), 9)]
     assert (len(server.processed), origin.received, server.streams_over_limit, server.protocol_errors) == (
@@ -148,10 +148,10 @@
 
 @async_test
 async def test_an_incomplete_response_reaches_no_client() -> None:
-    def send_half(asked: Http2Request) -> None:
-        asked.send_headers(200, 1_000)
-        asked.connection.send_body(asked, b"x" * 300, False)
-        asked.reset(ErrorCodes.INTERNAL_ERROR)
+    def send_half(request: Http2Request) -> None:
+        request.send_headers(200, 1_000)
+        request.connection.send_body(request, b"x" * 300, False)
+        request.reset(ErrorCodes.INTERNAL_ERROR)
 
     server = ScriptedHttp2Server(send_half)
     async with rehearse(server) as rehearsal:
@@ -163,11 +163,11 @@
 
 
 @async_test
-async def test_a_silent_connection_is_detected_by_ping_and_not_used_any_more() -> None:
-    def fall_silent(asked: Http2Request) -> None:
-        asked.connection.is_silent = True
+async def test_an_unresponsive_connection_is_detected_by_ping_and_not_used_any_more() -> None:
+    def stop_responding(request: Http2Request) -> None:
+        request.connection.is_silent = True
 
-    server = ScriptedHttp2Server(fall_silent)
+    server = ScriptedHttp2Server(stop_responding)
     async with rehearse(server, ping_after_ms=50.0, ping_wait_ms=50.0) as rehearsal:
         # Both attempts get no response, long before the request's deadline.
         status, _, _ = await rehearsal.fetch(wait_ms=PATIENT_MS)
@@ -179,21 +179,21 @@
 
 
 @async_test
-async def test_a_server_that_accepts_and_sends_nothing_fails_no_request() -> None:
-    mute, other = (
+async def test_a_server_that_sends_nothing_after_accepting_fails_no_request() -> None:
+    unresponsive, other = (
         ScriptedHttp2Server(serve, sends_preface=False),
         ScriptedHttp2Server(serve, "c2", capacity=1e-6),
     )
-    async with rehearse(mute, other, connect_timeout_ms=100.0) as rehearsal:
+    async with rehearse(unresponsive, other, connect_timeout_ms=100.0) as rehearsal:
         assert (await rehearsal.fetch(wait_ms=PATIENT_MS))[0] == 200
-    assert (mute.received, len(other.received)) == ([], 1)
+    assert (unresponsive.received, len(other.received)) == ([], 1)
 
 
 @async_test
-async def test_what_a_stalled_server_never_took_is_retried() -> None:
-    def stall(asked: Http2Request) -> None:
-        assert asked.connection.transport is not None
-        asked.connection.transport.pause_reading()
+async def test_requests_that_a_stalled_server_never_received_are_retried() -> None:
+    def stall(request: Http2Request) -> None:
+        assert request.connection.transport is not None
+        request.connection.transport.pause_reading()
 
     large: dict[SettingCodes | int, int] = {SettingCodes.INITIAL_WINDOW_SIZE: 2**24}
     server, origin = (
@@ -224,12 +224,12 @@
     reasons = {outcome.reason for outcome in outcomes}
     assert EndReason.KEEP_ALIVE_TIMEOUT in reasons
     assert {EndReason.NOT_TRANSMITTED, EndReason.HEAD_INCOMPLETE} & reasons, outcomes
-    runs = Counter(asked.ticket for asked in (*server.processed, *origin.processed))
+    runs = Counter(request.ticket for request in (*server.processed, *origin.processed))
     assert {name: times for name, times in runs.items() if times > 1} == {}
     assert len(runs) == statuses.count(200)
 
 
-def test_2000_writes_with_random_faults_are_processed_once_at_most_and_retried_with_proof() -> None:
+def test_2000_writes_with_random_faults_are_processed_at_most_once_and_retried_with_proof() -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         report = runner.run(play_h2(11, 2_000, 0.12, options_for("h2c")))
     assert not report.has_violation, report
@@ -237,6 +237,6 @@
     assert len(report.faults) == 13  # each kind of fault occurred
     assert {"above_goaway", "refused"} <= set(report.findings)
     proved = sum(report.findings[reason.value] for reason in UNPROCESSED_REASONS)
-    # The decision module has a bound of its own on retries.
+    # Not all of them are retried, as the dispatcher has its own limit of retries.
     assert report.recovered_count > proved // 2
     assert sum(status == 200 for status in report.statuses.values()) > 1_500
--- a/tests/test_http2_tls.py
+++ b/tests/test_http2_tls.py
@@ -38,7 +38,7 @@
 
 
 class TlsFiles:
-    """A folder with the CA's certificate, and the options of `[tls]` that name it."""
+    """A folder with the CA's certificate, and options whose `[tls]` table names it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -55,7 +55,7 @@
 
 
 @async_test
-async def test_alpn_selects_h2_and_the_certificates_name_is_checked(tls: TlsFiles) -> None:
+async def test_alpn_selects_h2_and_the_name_in_the_certificate_is_verified(tls: TlsFiles) -> None:
     good = ScriptedHttp2Server(serve, tls=server_context("c1.caches.example"))
     async with rehearse(good, options=tls.options()) as rehearsal:
         assert (await rehearsal.fetch())[2] == BYTES
@@ -68,7 +68,7 @@
 
 
 @async_test
-async def test_a_server_that_selects_http1_is_spoken_to_over_tls(tls: TlsFiles) -> None:
+async def test_http1_over_tls_is_used_for_a_server_that_selects_it(tls: TlsFiles) -> None:
     server = ScriptedServer(serve_http1, tls=server_context("c1.caches.example", alpn=("http/1.1",)))
     async with rehearse(server, options=tls.options()) as rehearsal:
         for n in range(3):
@@ -78,10 +78,10 @@
 
 
 @async_test
-async def test_a_client_certificate_is_sent_where_it_is_set(tls: TlsFiles) -> None:
-    own = certificate_authority().issue_cert("director.example")
-    own.private_key_pem.write_to_path(str(tls.folder / "key.pem"))
-    own.cert_chain_pems[0].write_to_path(str(tls.folder / "own.pem"))
+async def test_a_client_certificate_is_sent_if_it_is_configured(tls: TlsFiles) -> None:
+    client_certificate = certificate_authority().issue_cert("director.example")
+    client_certificate.private_key_pem.write_to_path(str(tls.folder / "key.pem"))
+    client_certificate.cert_chain_pems[0].write_to_path(str(tls.folder / "own.pem"))
     with_certificate = tls.options(certificate=str(tls.folder / "own.pem"), key=str(tls.folder / "key.pem"))
     for options, status in ((with_certificate, 200), (tls.options(), 503)):
         server = ScriptedHttp2Server(serve, tls=server_context("c1.caches.example", client=True))
@@ -90,14 +90,14 @@
 
 
 @async_test
-async def test_sighup_reads_the_files_again_and_a_bad_one_changes_nothing(tls: TlsFiles) -> None:
+async def test_sighup_reloads_the_files_and_an_invalid_one_changes_nothing(tls: TlsFiles) -> None:
     server = await ScriptedHttp2Server(serve, tls=server_context("c1.caches.example")).start()
     coordinator = await Coordinator().start()
     (tls.folder / "config.json").write_text(json.dumps(config_for([server], coordinator)))
-    own_settings, other = tls.folder / "own.toml", trustme.CA()
-    own_settings.write_text("[http2]\nmode = 'tls'\n[tls]\nca = 'ca.pem'\nname = '{uid}.caches.example'\n")
+    options_file, other_ca = tls.folder / "own.toml", trustme.CA()
+    options_file.write_text("[http2]\nmode = 'tls'\n[tls]\nca = 'ca.pem'\nname = '{uid}.caches.example'\n")
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "gladewalk", "run", "--config", str(own_settings), cwd=ROOT,
+        sys.executable, "-m", "gladewalk", "run", "--config", str(options_file), cwd=ROOT,
         env={**os.environ, "NODE_CONFIG": str(tls.folder / "config.json")},
         stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
@@ -114,9 +114,9 @@
     async def status(number: int) -> int:
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(encode_request(f"/invoke/lot-page/{number:x}", trace=ticket(number)))
-        found = int((await read_message(reader))[0].split(" ")[1])
+        received_status = int((await read_message(reader))[0].split(" ")[1])
         writer.close()
-        return found
+        return received_status
 
     assert await status(1) == 200
     for bad_certificate in (b"no certificate", b""):
@@ -124,8 +124,8 @@
         program.send_signal(signal.SIGHUP)
         assert "tls.ca" in (await logged("configuration kept"))["why"]
         assert await status(2) == 200
-    assert server.connections == 1  # the former files are in force, and the connection stays open
-    other.cert_pem.write_to_path(str(tls.ca))  # good, and not the server's
+    assert server.connections == 1  # the former files stay in force, and the connection stays open
+    other_ca.cert_pem.write_to_path(str(tls.ca))  # a valid CA that did not issue the server's certificate
     program.send_signal(signal.SIGHUP)
     await logged("configuration taken")
     assert await status(3) == 503
@@ -140,11 +140,11 @@
 
 @async_test
 async def test_writes_over_tls_are_retried_only_with_proof(tls: TlsFiles) -> None:
-    def run_and_drop(asked: Http2Request) -> None:
-        asked.process()
-        asked.connection.abort()
+    def process_and_abort(request: Http2Request) -> None:
+        request.process()
+        request.connection.abort()
 
-    server = ScriptedHttp2Server(run_and_drop, tls=server_context("c1.caches.example"))
+    server = ScriptedHttp2Server(process_and_abort, tls=server_context("c1.caches.example"))
     origin = ScriptedHttp2Server(serve, "o", "origin", "north", tls=server_context("o.caches.example"))
     async with rehearse(server, origin, options=tls.options()) as rehearsal:
         assert await write(rehearsal, 1) == 502
--- a/tests/test_http2_violations.py
+++ b/tests/test_http2_violations.py
@@ -1,4 +1,4 @@
-"""Servers that violate the protocol, over loopback."""
+"""Servers that violate HTTP/2, over loopback."""
 
 import asyncio
 from typing import Any
@@ -30,8 +30,8 @@
     return serialize(head, *(ContinuationFrame(1, data=b"") for _ in range(200)))
 
 
-def header_bomb() -> bytes:
-    """Puts a field of 4,000 bytes into the table, then its index a thousand times (RFC 7541, section 6.1)."""
+def header_table_bomb() -> bytes:
+    """Returns a head that indexes a 4,000-byte field and repeats it 1,000 times (RFC 7541, section 6.1)."""
     field = b"\x40\x01a\x7f" + bytes([0xA1, 0x1E]) + b"x" * 4_000
     data = b"\x88" + field + b"\xbe" * 1_000
     return serialize(HeadersFrame(1, data=data, flags=["END_HEADERS"]))
@@ -42,7 +42,7 @@
 VIOLATION_COUNTERS = ("h2.broke_rules", "caches.unreadable_answer", "h2.stray_frames")
 VIOLATIONS = {
     "endless CONTINUATION": endless_head(),
-    "a header bomb": header_bomb(),
+    "a header bomb": header_table_bomb(),
     "a head above the limit": serialize(
         HeadersFrame(1, data=b"\x88\x00\x01a\x7f\xa1\x9c\x01" + b"x" * 16_000),
         ContinuationFrame(1, data=b"x" * 16_000),
@@ -74,26 +74,26 @@
 
 @pytest.mark.parametrize("name", VIOLATIONS)
 @async_test
-async def test_a_violation_ends_the_connection_and_another_server_serves(name: str) -> None:
-    bad = ScriptedHttp2Server(lambda asked: asked.connection.send_raw(VIOLATIONS[name]))
+async def test_a_violation_ends_the_connection_and_another_server_responds(name: str) -> None:
+    bad = ScriptedHttp2Server(lambda request: request.connection.send_raw(VIOLATIONS[name]))
     good = ScriptedHttp2Server(serve, "c2", capacity=1e-6)
     async with rehearse(bad, good, **CONTROL_FRAME_LIMITS) as rehearsal:
-        # A response of which nothing was forwarded is replaced by another server's; else it is cut.
+        # The client gets another server's response, or an incomplete one if part of it was already forwarded.
         try:
             status, _, body = await rehearsal.fetch(wait_ms=PATIENT_MS)
             assert (status, body) == (200, b"" if "closed" in name else BYTES)
         except (asyncio.IncompleteReadError, ConnectionError):
             assert counters_of(rehearsal)["answers.cut"] == 1
-        counts = counters_of(rehearsal)
-        detected = sum(counts[counter] for counter in VIOLATION_COUNTERS)
-        assert detected >= 1, counts
+        counters = counters_of(rehearsal)
+        detected = sum(counters[counter] for counter in VIOLATION_COUNTERS)
+        assert detected >= 1, counters
         assert (await rehearsal.fetch("/invoke/lot-page/5", wait_ms=PATIENT_MS))[0] // 100 == 2
 
 
 @async_test
-async def test_a_flood_of_frames_is_stopped_while_it_goes_on() -> None:
+async def test_a_flood_of_frames_is_stopped_before_its_end() -> None:
     bad = ScriptedHttp2Server(
-        lambda asked: asked.connection.send_raw(serialize(*(PingFrame(0) for _ in range(20_000))))
+        lambda request: request.connection.send_raw(serialize(*(PingFrame(0) for _ in range(20_000))))
     )
     good = ScriptedHttp2Server(serve, "c2", capacity=1e-6)
     async with rehearse(bad, good, **CONTROL_FRAME_LIMITS) as rehearsal:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""The decisions on HTTP/2 connections, without I/O: properties over drawn histories."""
+"""Decisions about HTTP/2 connections, without I/O: properties over generated event sequences."""
 
 import dataclasses
 
@@ -28,16 +28,16 @@
 )  # fmt: skip
 
 
-PARTS = st.sampled_from((0.0, 0.3, 0.7, 1.0, 1.0))
+FRACTIONS = st.sampled_from((0.0, 0.3, 0.7, 1.0, 1.0))
 BODY_BYTES = st.sampled_from((0, 0, 0, 1, 20, 50))
 
 
 class TrackerMachine(RuleBasedStateMachine):
-    """A connection to a correct server; no stream that it processed may count as unprocessed.
+    """A connection to a correct server; no stream that the server processed may count as unprocessed.
 
-    The server receives a prefix of the bytes. It may process any stream whose whole head it has received,
-    unless a GOAWAY of its own excludes it; it refuses only what it has not processed. After each connection
-    another one follows.
+    The server receives a prefix of the sent bytes. It may process any stream whose whole head it has
+    received, unless its own GOAWAY excludes the stream, and refuses only streams that it has not processed.
+    After each connection, a new one is opened.
     """
 
     def __init__(self) -> None:
@@ -63,11 +63,13 @@
     @precondition(lambda self: self.last_allowed_id is None)
     @rule(
         requests=st.lists(st.tuples(st.integers(1, 50), BODY_BYTES), min_size=1, max_size=5),
-        accepted_part=PARTS,
-        received_part=PARTS,
+        accepted_fraction=FRACTIONS,
+        received_fraction=FRACTIONS,
     )
-    def open(self, requests: list[tuple[int, int]], accepted_part: float, received_part: float) -> None:
-        """Sends requests with so many bytes of head and body, of which a part arrives at once."""
+    def open(
+        self, requests: list[tuple[int, int]], accepted_fraction: float, received_fraction: float
+    ) -> None:
+        """Sends requests, given as byte counts of head and body, and transmits part of their bytes."""
         for head_bytes, body_bytes in requests:
             head_end = self.sent_bytes + head_bytes
             self.tracker.open_stream(self.next_id, self.sent_bytes, head_end, not body_bytes)
@@ -76,16 +78,16 @@
                 self.sent_bytes += body_bytes
                 self.tracker.body_ended(self.next_id, self.sent_bytes)
             self.next_id += 2
-        self.pass_on(accepted_part, received_part)
+        self.transmit_bytes(accepted_fraction, received_fraction)
 
-    @rule(accepted_part=PARTS, received_part=PARTS)
-    def transmit(self, accepted_part: float, received_part: float) -> None:
-        self.pass_on(accepted_part, received_part)
+    @rule(accepted_fraction=FRACTIONS, received_fraction=FRACTIONS)
+    def transmit(self, accepted_fraction: float, received_fraction: float) -> None:
+        self.transmit_bytes(accepted_fraction, received_fraction)
 
-    def pass_on(self, accepted_part: float, received_part: float) -> None:
-        """The kernel takes some more, and the server receives some more of that."""
-        self.accepted_bytes += round((self.sent_bytes - self.accepted_bytes) * accepted_part)
-        self.received_bytes += round((self.accepted_bytes - self.received_bytes) * received_part)
+    def transmit_bytes(self, accepted_fraction: float, received_fraction: float) -> None:
+        """The kernel accepts a fraction of the unsent bytes, and the server receives a fraction of those."""
+        self.accepted_bytes += round((self.sent_bytes - self.accepted_bytes) * accepted_fraction)
+        self.received_bytes += round((self.accepted_bytes - self.received_bytes) * received_fraction)
 
     def processable(self) -> list[int]:
         return [
@@ -129,9 +131,9 @@
             if is_complete:
                 self.tracker.response_completed(stream_id)
 
-    @rule(more=st.integers(0, 9), code=st.sampled_from((0, 2, 11, 99)))
-    def server_sends_goaway(self, more: int, code: int) -> None:
-        last_id = max(self.processed, default=0) + 2 * more
+    @rule(id_increment=st.integers(0, 9), code=st.sampled_from((0, 2, 11, 99)))
+    def server_sends_goaway(self, id_increment: int, code: int) -> None:
+        last_id = max(self.processed, default=0) + 2 * id_increment
         if self.last_allowed_id is not None:
             last_id = min(last_id, self.last_allowed_id)
         self.last_allowed_id = last_id
@@ -163,7 +165,7 @@
 
 
 class AllocatorMachine(RuleBasedStateMachine):
-    """Connections whose servers change their limits at random; no stream is opened above a limit."""
+    """Connections whose servers change their stream limits at random; no stream is opened above a limit."""
 
     OPTIONS = Http2Options(max_connections=2, max_streams=6, calm_backoff_ms=50.0)
 
@@ -187,7 +189,7 @@
             if slots.open_count < slots.max_streams and slots.number not in self.drained
         ]
         if isinstance(choice, ConnectionSlots):
-            assert choice is available[0], "the oldest with capacity comes first"
+            assert choice is available[0], "not the oldest connection with capacity"
             self.streams[choice.number].append(self.allocator.open_stream(choice))
             assert len(self.streams[choice.number]) <= choice.max_streams <= self.OPTIONS.max_streams
         elif choice is NextStep.OPEN:
@@ -236,7 +238,7 @@
             self.allocator.remove_connection(slots)
 
     @rule()
-    def server_asks_for_calm(self) -> None:
+    def server_sends_enhance_your_calm(self) -> None:
         self.allocator.calm_requested(self.now_ms)
 
     @rule(duration_ms=st.floats(0, 400))
@@ -260,7 +262,7 @@
 TestAllocator.settings = PROFILE
 
 
-def test_a_request_whose_head_the_kernel_did_not_take_is_unprocessed() -> None:
+def test_a_request_whose_head_the_kernel_did_not_accept_is_unprocessed() -> None:
     expected = {
         0: EndReason.NOT_TRANSMITTED,
         10: EndReason.NOT_TRANSMITTED,
@@ -275,13 +277,13 @@
         29: TransmissionProgress.HEAD,
         30: TransmissionProgress.COMPLETE,
     }
-    for taken, reason in expected.items():
+    for accepted, reason in expected.items():
         tracker = StreamTracker()
         tracker.open_stream(1, 10, 20, is_complete=False)
         tracker.body_ended(1, 30)
-        (outcome,) = tracker.connection_closed(EndReason.CONNECTION_LOST, taken)
+        (outcome,) = tracker.connection_closed(EndReason.CONNECTION_LOST, accepted)
         assert outcome.reason is reason
-        assert outcome.progress is progress.get(taken, outcome.progress)
+        assert outcome.progress is progress.get(accepted, outcome.progress)
 
 
 def test_a_goaway_with_a_higher_last_id_proves_nothing() -> None:
@@ -294,16 +296,16 @@
     assert not outcome.is_unprocessed
 
 
-def test_the_backoff_for_calm_doubles_and_ends_with_a_response() -> None:
+def test_the_backoff_after_enhance_your_calm_doubles_and_is_reset_by_a_response() -> None:
     allocator = StreamAllocator(Http2Options(calm_backoff_ms=100.0))
-    now, spans = 0.0, []
+    now, durations = 0.0, []
     for _ in range(7):
         allocator.calm_requested(now)
-        allocator.calm_requested(now)  # on many streams at once: it counts once
-        spans.append(allocator.calm_until_ms - now)
+        allocator.calm_requested(now)  # received on several streams at once, it counts once
+        durations.append(allocator.calm_until_ms - now)
         assert allocator.choose(1, now) is NextStep.REJECT
         now = allocator.calm_until_ms
-    assert spans == [100.0, 200.0, 400.0, 800.0, 1_600.0, 1_600.0, 1_600.0]
+    assert durations == [100.0, 200.0, 400.0, 800.0, 1_600.0, 1_600.0, 1_600.0]
     allocator.response_completed(now)
     allocator.calm_requested(now)
     assert allocator.calm_until_ms - now == 100.0
@@ -319,7 +321,7 @@
     assert slots.draining_since_ms is None
     allocator.abandon_stream(slots, 2.0)
     assert slots.draining_since_ms == 2.0
-    assert allocator.choose(1, 2.0) is NextStep.OPEN  # its successor
+    assert allocator.choose(1, 2.0) is NextStep.OPEN  # a connection that replaces it
     for _ in range(8):
         allocator.close_stream(slots, 3.0, was_abandoned=True)
     assert allocator.closable_connections(3.0, 1e9) == [slots]
@@ -334,7 +336,7 @@
     assert allocator.closable_connections(110.1, 1e9) == [slots]
 
 
-def test_offers_are_made_by_uid_then_model_and_a_fallback_lasts_its_time() -> None:
+def test_the_offer_depends_on_uid_before_model_and_a_fallback_expires() -> None:
     options = Http2Options(mode="tls", by_model={"m": "h2c"}, by_uid={"u": "off"}, http1_fallback_ms=1_000.0)
     negotiation = ProtocolNegotiation(options)
     assert negotiation.offer("u", "m", 0.0) is ProtocolOffer.HTTP1
@@ -347,14 +349,14 @@
     assert negotiation.fallbacks == {}
 
 
-def test_a_bucket_admits_its_burst_and_then_its_rate_even_if_the_clock_goes_back() -> None:
+def test_a_token_bucket_admits_its_burst_then_its_rate_even_if_the_clock_is_set_back() -> None:
     bucket = TokenBucket(3, 2.0, 0.0)
     assert [bucket.take(0.0) for _ in range(4)] == [True, True, True, False]
     assert [bucket.take(t) for t in (499.0, 500.0, 501.0, 400.0)] == [False, True, False, False]
     assert sum(bucket.take(1e6) for _ in range(9)) == 3
 
 
-def test_only_a_connection_with_an_outstanding_response_is_pinged_and_any_byte_replies() -> None:
+def test_only_a_connection_with_an_outstanding_response_is_pinged_and_any_byte_counts_as_reply() -> None:
     keep_alive = KeepAlive(100.0, 50.0, 0.0)
     assert keep_alive.check(False, 1e6) is KeepAliveAction.NONE
     keep_alive.request_sent(1e6)
