--- a/tests/http2_rehearsal.py
+++ b/tests/http2_rehearsal.py
@@ -71,9 +71,9 @@
     request.answer(200, BYTES)
 
 
-async def serve_http1(request: ReceivedRequest) -> None:
+async def serve_http1(http1_request: ReceivedRequest) -> None:
     """Responds to a request to a stand-in server over HTTP/1.1."""
-    await request.answer(200, BYTES, X_Remark="mem")
+    await http1_request.answer(200, BYTES, X_Remark="mem")
 
 
 async def write(
--- a/tests/test_golden_upstream.py
+++ b/tests/test_golden_upstream.py
@@ -132,7 +132,7 @@
     def finish(self, item: Any, end: AttemptResult) -> None:
         self.events.append(["end", *result_row(end)])
 
-    def fall_back(self, server: Any, reason: str) -> None:
+    def fall_back(self, upstream_server: Any, reason: str) -> None:
         self.events.append(["speaks HTTP/1.1"])
 
 
@@ -207,7 +207,7 @@
 
 
 def read_response(pieces: list[bytes], is_health_check: bool = False, unsent_bytes: int = 0) -> Any:
-    """Returns the events and counters of a response read in these pieces; an empty one ends the connection."""
+    """Returns the events and counters of a response in these pieces; an empty piece ends the connection."""
     pool = RecordingPool()
     transport = RecordingTransport(pool.events)
     connection = Http1Connection(cast(Any, pool))
@@ -283,7 +283,7 @@
 
 
 async def record_frames() -> dict[str, Any]:
-    """Returns the bytes of the preface, the settings, each request, and its repetition with indexed fields."""
+    """Returns the bytes of the preface, the settings, each request, and its repetition (indexed fields)."""
     recorded = {}
     for name, given_attempt in REQUESTS.items():
         peer = Http2Server()
@@ -292,8 +292,8 @@
         peer.reply()
         steps.append(peer.take_sent().hex())
         for _ in range(2):
-            item = given_attempt or HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
-            peer.connection.send(item)
+            work_item = given_attempt or HealthCheck(lambda status, ms, load: None, NOW_MS, "/load")
+            peer.connection.send(work_item)
             steps.append(peer.take_sent().hex())
         recorded[name] = steps
     return recorded
--- a/tests/test_http2_negotiation.py
+++ b/tests/test_http2_negotiation.py
@@ -29,7 +29,10 @@
         assert counters_of(rehearsal)["h2.fallbacks"] == 1
         assert await write(rehearsal, 2) == 200
         assert counters_of(rehearsal)["h2.fallbacks"] == 1  # the first fallback still applies
-    assert [request.method for request in server.received if request.method != "PRI"] == ["PUT", "PUT"]
+    assert [http1_request.method for http1_request in server.received if http1_request.method != "PRI"] == [
+        "PUT",
+        "PUT",
+    ]
 
 
 @async_test
