--- a/gladewalk/streams/keep_alive.py
+++ b/gladewalk/streams/keep_alive.py
@@ -20,8 +20,8 @@
     acknowledgement. A connection on which no response is outstanding is not checked.
 
     Attributes:
-        ping_after_ms: How long no byte must have been received before a PING is sent.
-        timeout_ms: How long after the PING the connection is considered dead if no byte is received.
+        ping_after_ms: The time without received bytes after which a PING is sent.
+        timeout_ms: How long no byte may be received after a PING until the connection is considered dead.
         received_ms: When the last byte was received.
         pinged_ms: When the PING that awaits its reply was sent; None if no reply is awaited.
     """
--- a/gladewalk/streams/stream_tracker.py
+++ b/gladewalk/streams/stream_tracker.py
@@ -32,7 +32,7 @@
 
     NOT_TRANSMITTED = "not_taken"  # the kernel accepted nothing of the head
     HEAD_INCOMPLETE = "head_not_whole"  # the kernel did not accept all of the head
-    ABOVE_GOAWAY = "above_goaway"  # RFC 9113, section 6.8
+    ABOVE_GOAWAY = "above_goaway"  # the stream's id is above the GOAWAY's last one (RFC 9113, section 6.8)
     REFUSED = "refused"  # RFC 9113, section 8.7: REFUSED_STREAM, before any processing
     RESET = "reset"  # RST_STREAM with any other code
     CONNECTION_LOST = "lost"  # the connection was closed, and no GOAWAY excluded the stream
--- a/gladewalk/upstream/connection_factory.py
+++ b/gladewalk/upstream/connection_factory.py
@@ -1,4 +1,4 @@
-"""Opens connections to servers with the protocol and TLS context that the options file sets."""
+"""The protocols and TLS contexts with which connections to servers are opened, by the options file."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def build_tls_context(options: Options, offer: ProtocolOffer) -> ssl.SSLContext:
-    """Returns a client's context for TLS 1.2 or later that verifies certificates by the configured CAs.
+    """Returns a client's context for TLS 1.2 or later; it verifies servers' names by the configured CAs.
 
     Raises `ConfigError`, which names the option whose file cannot be used.
     """
--- a/gladewalk/upstream/connection_group.py
+++ b/gladewalk/upstream/connection_group.py
@@ -25,7 +25,7 @@
         """Returns a work item's request for a connection; the caller appends it to the queue."""
 
     def fail_request(self, request: ConnectionRequest) -> None:
-        """Ends a work item for which no connection could be opened in time."""
+        """Fails a work item that gets no connection."""
 
     def write(self, connection: Http2Connection, item: WorkItem) -> None:
         """Sends a work item on an open connection."""
@@ -103,7 +103,7 @@
                 self.pool.fail_request(request)
 
     def settings_received(self, connection: Http2Connection, max_streams: int) -> ConnectionSlots:
-        """Returns the slots of a connection that has received the server's settings, for new requests."""
+        """Adds a connection that has received the server's settings, and returns its slots."""
         self.handshaking.discard(connection)
         self.closes_without_data = 0
         self.allocator.dial_ended()
@@ -131,7 +131,7 @@
         self.allocator.calm_requested(self.pool.clock())
 
     def fall_back(self, reason: str) -> None:
-        """Uses HTTP/1.1 for the server from now on; of the waiting work items, nothing was sent."""
+        """Uses HTTP/1.1 for the server from now on; none of the waiting work items was sent."""
         self.pool.fall_back(self.server, reason)
 
     # Called by the pool.
--- a/gladewalk/upstream/connection_opener.py
+++ b/gladewalk/upstream/connection_opener.py
@@ -46,7 +46,7 @@
         """Sends a work item on an open connection."""
 
     def fail_request(self, request: ConnectionRequest) -> None:
-        """Ends a work item for which no connection could be opened in time."""
+        """Fails a work item that gets no connection."""
 
     def fall_back(self, server: UpstreamServer, reason: str) -> None:
         """Uses HTTP/1.1 for a server from now on."""
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -37,7 +37,7 @@
         """Where the server is dialled now."""
 
     def release(self, connection: Http1Connection) -> None:
-        """Returns a connection without a request in flight to the idle ones."""
+        """Adds a connection without a request in flight to the idle ones."""
 
     def forget(self, connection: Http1Connection) -> None:
         """Removes a closed connection from the idle ones, if it is among them."""
@@ -71,7 +71,7 @@
         item: The attempt or health check in flight.
         address: Where the connection was dialled; the server may have moved since.
         released_ms: When its last response was complete, steady milliseconds.
-        reused_after_ms: How long it was idle before the request that it carries now; 0 on its first use.
+        reused_after_ms: How long it was idle before its last request; 0 for its first request.
         idle_until_ms: Until when the idle connection may be reused, steady milliseconds.
         last_trace_id: The trace id of the attempt that it carried last; empty after a health check, and
             before the first request.
@@ -133,7 +133,7 @@
         write_now(self.transport, request)
 
     def encode(self, attempt: Attempt, now_ms: float) -> bytes:
-        """Returns an attempt's request as bytes; a subclass may speak another dialect of HTTP/1.1."""
+        """Returns an attempt's request as bytes; a subclass may use another variant of HTTP/1.1."""
         return encode_request(attempt, now_ms)
 
     def cancel(self, item: WorkItem) -> None:
@@ -193,9 +193,8 @@
         if head is not None and isinstance(self.item, Attempt):
             self.is_forwarded = self.pool.exchange.response_started(self.item, head)
         for body in self.pending_body:
-            if self.is_forwarded and isinstance(
-                self.item, Attempt
-            ):  # a client may disconnect between two pieces
+            # The client may disconnect between two pieces.
+            if self.is_forwarded and isinstance(self.item, Attempt):
                 self.pool.exchange.response_body(self.item, body)
         self.pending_body.clear()
 
@@ -226,8 +225,8 @@
     def _note_surplus(self, elapsed_ms: float) -> None:
         """Counts and logs surplus bytes, received after a complete response.
 
-        They are one of two things: a duplicate response, or the response to a request for which the duplicate
-        response to the request before was taken, because it was received after the reuse delay.
+        They are either a duplicate response, or the response to a request that has already got the duplicate
+        of the previous response, because that duplicate was received after the reuse delay.
 
         Args:
             elapsed_ms: The time between the response's end and these bytes.
--- a/gladewalk/upstream/http2_engine.py
+++ b/gladewalk/upstream/http2_engine.py
@@ -119,11 +119,9 @@
         below it.
         """
         self._opened_since_sweep += 1
-        if (
-            self._opened_since_sweep >= OPEN_STREAM_SWEEP_INTERVAL
-        ):  # the iteration also removes closed streams
+        if self._opened_since_sweep >= OPEN_STREAM_SWEEP_INTERVAL:
             self._opened_since_sweep = 0
-            self._open_streams(1)
+            self._open_streams(1)  # iterates over all streams, and removes closed ones
         return -1
 
     def _receive_frame(self, frame: Frame) -> list[Event]:
@@ -142,9 +140,7 @@
                 self.count("h2.stray_frames")  # on a stream that has ended or was never opened
             if not self.control_frames.take(self.clock()):
                 raise FrameFloodError(f"too many frames without payload, the last is {type(frame).__name__}")
-        elif isinstance(
-            frame, DataFrame
-        ):  # avoids the library's handler, which first formats all bytes for a log
+        elif isinstance(frame, DataFrame):  # the library's handler would format all bytes for a log line
             frames, events = self._receive_data_frame(frame)
             self._prepare_for_sending(frames)
             return events
--- a/gladewalk/upstream/pool.py
+++ b/gladewalk/upstream/pool.py
@@ -33,7 +33,7 @@
 UPSTREAM_DESCRIPTOR_FRACTION = 0.6  # of all descriptors; clients may use up to a third
 MIN_CONNECTIONS = 8  # the lower bound of the limit, even if there are too few descriptors
 IDLE_SWEEP_INTERVAL_MS = 1_000.0
-GROUP_SWEEP_INTERVAL_MS = 100.0  # applies while there are HTTP/2 groups; the precision of their keep-alive
+GROUP_SWEEP_INTERVAL_MS = 100.0  # while there are HTTP/2 groups; it limits the precision of their keep-alive
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 
 
@@ -319,7 +319,7 @@
         if group is not None and (not is_multiplexed or is_outdated):
             server.group = None
             group.close_idle()
-            for request in list(group.waiting):  # they were not sent, and go over the next protocol or group
+            for request in list(group.waiting):  # none was sent, so that all can be started again
                 self._begin(self.withdraw(request).item, server.name)
         if is_multiplexed and server.group is None and factory is not None:
             new_group = factory.new_group(self, server)
--- a/gladewalk/upstream/upstream_server.py
+++ b/gladewalk/upstream/upstream_server.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:  # the library that reads options is not imported unless there is an options file
     from ..config.option_tables import Http2Options
 
-# Of the time after which a cache closes an idle connection; the director closes it first.
+# The director closes an idle connection after this fraction of a cache's idle timeout, before the cache does.
 IDLE_TIMEOUT_FRACTION = 0.6
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -56,7 +56,7 @@
     client.sendall(data or encode_request("/invoke/lot-page/a1"))
 
 
-async def open_streams(client: socket.socket) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def open_reader_and_writer(client: socket.socket) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     client.setblocking(False)
     return await asyncio.open_connection(sock=client)
 
@@ -72,7 +72,7 @@
             client = socket.create_connection(director.front.address)
             prepare(director, client)
             director._stop_accepting()
-            reader, writer = await open_streams(client)
+            reader, writer = await open_reader_and_writer(client)
             await wait_until(lambda: len(cache.received) == 1)
             await wait_past_exit_delay(director)
             assert not director._ended.done()
@@ -165,7 +165,7 @@
             director._stop_accepting()
             await wait_past_exit_delay(director)
             assert not director._ended.done()
-            reader, writer = await open_streams(client)
+            reader, writer = await open_reader_and_writer(client)
             assert (await read_message(reader))[2] == LARGE
             writer.close()
             await director._ended
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -1,4 +1,4 @@
-"""When a server sends a duplicate response to one request, no other request gets a response not its own."""
+"""A server's duplicate response to one request must not be delivered to another request."""
 
 import asyncio
 import itertools
@@ -16,11 +16,11 @@
 from .server_scripts import running
 
 REQUESTS = 6
-DELAYS_S = (0.0, 0.03, 0.08)  # of the server, before each response
+DELAYS_S = (0.0, 0.03, 0.08)  # the server's delay before each response
 DUPLICATE_DELAYS_S = (0.0, 0.003, 0.01, 0.025, 0.045, 0.05)  # between a response and its duplicate
 PIECE_PAUSE_S = 0.005
 MAX_DUPLICATE_DELAY_S = (REUSE_DELAY_MS - 4.0) / 1000.0
-MAX_RUNS = 20  # of a case, until no duplicate response is delayed by a busy machine
+MAX_RUNS = 20  # how often a case is run until a busy machine delays none of its duplicate responses
 MAX_NEXT_REQUEST_WAIT_S = 0.05  # after this, a duplicate is sent without a next request
 SLOW_CONNECT_S = 0.3
 MAX_CONNECTIONS, BATCH, KEYS, ROUNDS = 2, 4, 41, 4
