--- a/gladewalk/streams/keep_alive.py
+++ b/gladewalk/streams/keep_alive.py
@@ -21,7 +21,7 @@
 
     Attributes:
         ping_after_ms: The time without received bytes after which a PING is sent.
-        timeout_ms: How long no byte may be received after a PING until the connection is considered dead.
+        timeout_ms: How long after a PING without received bytes the connection is considered dead.
         received_ms: When the last byte was received.
         pinged_ms: When the PING that awaits its reply was sent; None if no reply is awaited.
     """
