--- a/gladewalk/__init__.py
+++ b/gladewalk/__init__.py
@@ -1,4 +1,4 @@
-"""gladewalk: cooperative caching decisions for dispatchers in front of caches of large objects."""
+"""gladewalk: request routing and cooperative caching for directors in front of caches of large objects."""
 
 from .policy import Dispatcher
 
--- a/gladewalk/__main__.py
+++ b/gladewalk/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gladewalk`: without arguments one director, as the platform runs it; else the command line."""
+"""Entry point of `python -m gladewalk`: runs one director without arguments, else the command line."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 def main() -> int:
     """Runs a director or a command; returns the exit code."""
-    if len(sys.argv) == 1:  # the platform's way: the command line's library is not even imported
-        signals.block()  # before all that takes time to import
+    if len(sys.argv) == 1:  # the platform starts a director like this; click is not imported, to save memory
+        signals.block()  # before the slow imports, during which a signal would end the process
         from .core.memory_tuning import without_tables
 
         without_tables()
--- a/gladewalk/daemon.py
+++ b/gladewalk/daemon.py
@@ -1,4 +1,4 @@
-"""One director as a process: its log, its configuration, its exit code."""
+"""Runs one director as a process: sets up its log, loads its configuration and returns its exit code."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from . import signals
 from .config.platform import ConfigError, PlatformConfig, load_config
 from .director import Director
-from .optional_parts import build_protocols, load_dns_settings
+from .optional_parts import build_connection_factory, load_dns_settings
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # at run time, parts that are not configured are not imported
     from .config.options import Options
     from .dns.settings import DnsConfig
 
@@ -26,8 +26,8 @@
 class NonBlockingLog:
     """Writes log lines to a descriptor without ever blocking or raising.
 
-    A line that finds no room, or whose reader has gone, is counted in `dropped_lines`: a log is no reason to
-    stop serving.
+    A line is counted in `dropped_lines` if the pipe is full or its reader has closed it: a director keeps
+    serving when its log cannot be written.
     """
 
     def __init__(self, fd: int = 2) -> None:
@@ -36,10 +36,11 @@
         self._poll.register(fd, select.POLLOUT)
 
     def write(self, text: str) -> None:
-        """Writes a line, whole or (from the first piece that finds no room) not."""
+        """Writes a line in pieces; drops the rest of the line at the first piece that would block."""
         data = text.encode("utf-8", "backslashreplace")
         try:
-            for start in range(0, len(data), select.PIPE_BUF):  # a write of this size never blocks if ready
+            # A pipe that polls as ready takes PIPE_BUF bytes without blocking.
+            for start in range(0, len(data), select.PIPE_BUF):
                 if not self._poll.poll(0):
                     self.dropped_lines += 1
                     return
@@ -48,11 +49,11 @@
             self.dropped_lines += 1
 
     def flush(self) -> None:
-        """Does nothing: no line is buffered."""
+        """Does nothing, as no line is buffered."""
 
 
 def configure_logging() -> None:
-    """Sets structlog up: one JSON object a line on standard error."""
+    """Configures structlog to write one JSON object per line to standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -65,7 +66,7 @@
 
 
 class LoadedConfiguration(NamedTuple):
-    """All that a director is configured by; `options` and `dns` are None where they are off."""
+    """The complete configuration of a director; `options` and `dns` are None if they are not configured."""
 
     config: PlatformConfig
     options: Options | None = None
@@ -73,7 +74,11 @@
 
 
 def load_configuration(options_path: str | None, dns_path: str | None) -> LoadedConfiguration:
-    """Reads and checks all files; raises `ConfigError` with one line that says what is wrong."""
+    """Reads and checks all configuration files.
+
+    Raises:
+        ConfigError: A file cannot be used; the text is one line that says why.
+    """
     config = load_config(os.environ)
     options: Options | None = None
     dns: DnsConfig | None = None
@@ -92,8 +97,11 @@
 
 
 def _check_options(options: Options, config: PlatformConfig) -> None:
-    """Checks each part that is on, so that a bad file is found before anything starts."""
-    build_protocols(options)  # certificates and keys are files of their own
+    """Checks the options of each configured part, so that errors are found before anything starts.
+
+    This includes the files that the options name, such as certificates and keys; raises `ConfigError`.
+    """
+    build_connection_factory(options)  # reads the certificate and key files
     if options.members is not None:
         from .duties.start import read_member_settings
 
@@ -116,12 +124,16 @@
 
 
 async def serve(loaded: LoadedConfiguration) -> None:
-    """Runs a director until it is told to stop."""
+    """Runs a director until it receives SIGTERM or SIGINT and has stopped."""
     await Director(loaded.config, asyncio.get_running_loop(), loaded.dns, loaded.options).run()
 
 
 def run(options_path: str | None = None, dns_path: str | None = None) -> int:
-    """Serves until SIGTERM; returns the process's exit code, 2 for a configuration that cannot be used."""
+    """Serves until SIGTERM.
+
+    Returns:
+        The process's exit code: 0, or 2 if the configuration cannot be used or an address cannot be bound.
+    """
     signals.block()
     configure_logging()
     try:
@@ -129,11 +141,13 @@
     except ConfigError as error:
         print(f"gladewalk: {error}", file=sys.stderr)
         return 2
-    gc.freeze()  # what was loaded stays: a collection need not look at it again
-    gc.set_threshold(50_000, 20, 100)  # hardly a cycle is made: rare collections, no pauses under load
+    # Excludes the objects loaded so far, which live as long as the process, from garbage collections. Few
+    # reference cycles are created afterwards; rare collections avoid pauses under load.
+    gc.freeze()
+    gc.set_threshold(50_000, 20, 100)
     try:
         uvloop.run(serve(loaded))
-    except ConfigError as error:  # from the store, which is opened with the director
+    except ConfigError as error:  # raised by the store, which is opened when the director is built
         print(f"gladewalk: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -1,4 +1,4 @@
-"""A director: its parts put together, its start, configuration reloads and graceful shutdown."""
+"""A director: connects its parts to each other; start, configuration reloads and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from .net.listening import retry_listening
 from .upstream.pool import ConnectionPool
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # at run time, parts that are not configured are not imported
     from .config.options import Options
     from .dns.settings import DnsConfig
     from .net.admin import AdminFront
 
-EXIT_DELAY_MS = 20.0  # lets the last answers leave before the process ends
+EXIT_DELAY_MS = 20.0  # time for the last responses to be sent before the process exits
 
 
 class LoopTimer:
-    """Arms one timer of the event loop for the earliest of the deadlines that it owns."""
+    """Owns a set of deadlines and arms one event-loop timer for the earliest of them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
         self.loop, self.clock = loop, clock
@@ -43,7 +43,7 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def arm(self, when_ms: float) -> None:
-        """Replaces the timer by one for `when_ms`."""
+        """Replaces the armed timer with one that fires at `when_ms`."""
         if self._handle is not None:
             self._handle.cancel()
         self._handle = self.loop.call_later(max(0.0, when_ms - self.clock()) / 1000.0, self._sweep)
@@ -53,12 +53,12 @@
 
 
 class Director:
-    """One director; `options` are our own settings, None where all that they turn on is off.
+    """One director; `options` is None if it has no options file, and then every optional part is disabled.
 
-    Raises `ConfigError` for options that cannot be used, as some are read only here (the store's folder).
+    Raises `ConfigError` for options that cannot be used; some are checked only here (the store's folder).
     """
 
-    max_sync_wait_ms = MAX_SYNC_WAIT_MS  # how long requests wait at the start for the first endpoint list
+    max_sync_wait_ms = MAX_SYNC_WAIT_MS  # how long requests wait at start for the first endpoint list
 
     def __init__(
         self,
@@ -74,12 +74,14 @@
         self.log = structlog.get_logger().bind(node=config.name)
         self.deadlines = deadlines = LoopTimer(loop, clock).deadlines
         self._ended: asyncio.Future[None] = loop.create_future()
-        self._is_stopping, self._last_answer_ms = False, math.inf  # by when a stop ends, whatever clients do
+        self._is_stopping, self._shutdown_deadline_ms = False, math.inf
 
         self.exchange = Exchange(config, clock, deadlines, counters, self._log_module_line)
         self.exchange.request_log.emit = self.log.info
-        protocols = parts.build_protocols(options)
-        self.connection_pool = ConnectionPool(self.exchange, config, clock, deadlines, counters, protocols)
+        upstream_factory = parts.build_connection_factory(options)
+        self.connection_pool = ConnectionPool(
+            self.exchange, config, clock, deadlines, counters, upstream_factory
+        )
         self.exchange.upstreams = self.connection_pool
         connection_limit = config.settings.client_connection_limit
         self.front = ClientFront(
@@ -122,7 +124,7 @@
     # Start and run.
 
     async def start(self) -> None:
-        """Restores stored state, begins to follow the coordinator, and opens all listeners."""
+        """Restores stored state, starts watching the coordinator's feed, and opens all listeners."""
         self.endpoint_feed.load_initial(self.config.initial_event_index, self.config.initial_events)
         if self.persistence is not None:
             self.persistence.restore(self.endpoint_feed)
@@ -160,8 +162,8 @@
             await self.control.listen()
 
     async def run(self) -> None:
-        """Serves until SIGTERM, then answers all that was accepted and returns."""
-        signals.block()  # from now on a signal comes once all parts are there
+        """Serves until SIGTERM, then gives every accepted request its final answer and returns."""
+        signals.block()  # signals stay pending until all parts have started
         handlers = {signal.SIGHUP: self.reload, signal.SIGTERM: self.stop, signal.SIGINT: self.stop}
         for number, handler in {**handlers, signal.SIGUSR1: self.report}.items():
             self.loop.add_signal_handler(number, handler)
@@ -169,7 +171,7 @@
         signals.unblock()
         self.log.info("serving", servers=len(self.connection_pool.servers), **self._listen_addresses())
         await self._ended
-        signals.block()  # the loop removes its handlers before the process has ended
+        signals.block()  # the loop removes its handlers before the process exits; a signal would kill it then
         if self.persistence is not None:
             await self.persistence.close()
         self.report()
@@ -188,17 +190,17 @@
         return addresses
 
     def _on_synced(self) -> None:
-        """Releases held requests: the coordinator has answered, or was waited for long enough."""
+        """Releases held requests, once the coordinator has responded or `max_sync_wait_ms` has passed."""
         if not self.readiness.is_synced:
             self.readiness.is_synced = True
             self.exchange.release_held()
-            has_answered = self.coordinator_watch.on_synced is None
-            self.counters.add("coordinator.heard_at_start" if has_answered else "coordinator.late_at_start")
+            has_responded = self.coordinator_watch.on_synced is None
+            self.counters.add("coordinator.heard_at_start" if has_responded else "coordinator.late_at_start")
 
     # Reload.
 
     def reload(self) -> None:
-        """SIGHUP: reads the configuration again; if it cannot be used, the previous one stays in force."""
+        """Handles SIGHUP: reloads the configuration; keeps the previous one if the new one cannot be used."""
         try:
             reloaded = parts.read_reloaded(
                 os.environ,
@@ -221,7 +223,7 @@
         self.log.error("configuration kept", why=str(error))
 
     def _apply_options(self, options: Options, reloaded: parts.Reloaded) -> None:
-        self.connection_pool.set_connection_factory(reloaded.protocols)
+        self.connection_pool.set_connection_factory(reloaded.upstream_factory)
         if self.web is not None and reloaded.router is not None:
             self.web.reload(options, reloaded.router)
         if self.dns is not None and reloaded.dns is not None:
@@ -230,7 +232,7 @@
             self.members.authenticator.replace_keys(reloaded.member_keys)
 
     def apply(self, config: PlatformConfig) -> None:
-        """Applies a configuration; open requests keep the settings that they began with."""
+        """Applies a configuration; open requests keep the settings that they were accepted with."""
         if config.listen != self.config.listen:
             self.log.warning("listen_address_needs_restart", listen=config.listen)
         self.config = config
@@ -254,7 +256,7 @@
         return max(cls.deadline_ms for cls in self.exchange.dispatcher.state.classes.values())
 
     def _alpn_of(self, name: str) -> tuple[bool, tuple[str, ...]]:
-        """Returns for a server whether it is spoken to over TLS, and by which protocols (ALPN ids)."""
+        """Returns whether connections to the named server use TLS, and its protocols as ALPN ids."""
         factory, server = self.connection_pool.connection_factory, self.connection_pool.servers.get(name)
         if factory is None or server is None:
             return False, ("http/1.1",)
@@ -266,19 +268,22 @@
     # Graceful shutdown.
 
     def stop(self) -> None:
-        """SIGTERM: drains; accepts requests for `SHUTDOWN_ACCEPT_MS` more and answers all by a limit."""
+        """Handles SIGTERM: drains, and accepts requests for another `SHUTDOWN_ACCEPT_MS`.
+
+        Every accepted request gets its final answer by `shutdown_deadline_ms`.
+        """
         if self._is_stopping:
             return
         self._is_stopping = True
         self.log.info("stopping", owed=self.exchange.unanswered_count)
         self.readiness.is_stopping = True
         self.readiness.start_drain(self.clock())
-        if self.leases is not None:  # handed over at once: another may act while this one finishes
+        if self.leases is not None:  # released at once, so that another director can take over the tasks
             self.leases[0].stop()
-        if self.config.inherited_fd is not None:  # the listener's other holders accept what comes now
+        if self.config.inherited_fd is not None:  # other processes with the listener accept new connections
             self.front.stop_accepting()
-        self._last_answer_ms = shutdown_deadline_ms(self.clock(), self._longest_deadline_ms())
-        self.exchange.answer_all_by(self._last_answer_ms)
+        self._shutdown_deadline_ms = shutdown_deadline_ms(self.clock(), self._longest_deadline_ms())
+        self.exchange.answer_all_by(self._shutdown_deadline_ms)
         self.deadlines.add(self.clock() + SHUTDOWN_ACCEPT_MS, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
@@ -288,10 +293,14 @@
         self._end_when_answered()
 
     def _end_when_answered(self) -> None:
-        """Ends the director once everything is answered; bounded, as every open request has a deadline."""
+        """Ends the director once no request is open, and retries after `EXIT_DELAY_MS` until then.
+
+        The retries end because every open request has a deadline; clients' connections are waited for until
+        the shutdown deadline at most.
+        """
         has_open_web_requests = self.web is not None and self.web.unanswered_count
         has_open = self.exchange.unanswered_count or self.exchange.resolutions.open or has_open_web_requests
-        if has_open or (not self.front.is_done() and self.clock() < self._last_answer_ms):
+        if has_open or (not self.front.is_done() and self.clock() < self._shutdown_deadline_ms):
             self.deadlines.add(self.clock() + EXIT_DELAY_MS, self._end_when_answered)
             return
         self._close_parts()
@@ -308,8 +317,8 @@
     # Log.
 
     def report(self) -> None:
-        """SIGUSR1, and at the end: logs the counters and what is open at this moment."""
-        now = {
+        """Logs the counters and the current gauges; called on SIGUSR1 and at exit."""
+        gauges = {
             "now.owed": self.exchange.unanswered_count,
             "now.passing": sum(
                 any(attempt.response is not None for attempt in opened.attempts.values())
@@ -320,7 +329,7 @@
             "now.upstream": len(self.connection_pool.open_connections),
             "late_ms": round(self.deadlines.max_late_ms, 1),
         }
-        self.log.info("counters", **now, **self.counters.report())
+        self.log.info("counters", **gauges, **self.counters.report())
 
     def _log_store_event(self, event: str, why: str) -> None:
         self.log.warning(event, why=why)
--- a/gladewalk/optional_parts.py
+++ b/gladewalk/optional_parts.py
@@ -1,7 +1,8 @@
-"""Builders of the parts of a director that are off unless our own options turn them on.
+"""Builders of the parts of a director that are disabled unless its options file enables them.
 
-Each builder imports its part only if it is on, so that a director as the platform runs it loads none of them.
-All raise `ConfigError` for options that cannot be used.
+Each builder imports its part only if the part is enabled. A director that the platform starts has no options
+file and loads none of them, which saves memory and start time. All builders raise `ConfigError` for options
+that cannot be used.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from .core.exchange import Exchange
 from .upstream.pool import ConnectionPool
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # at run time, parts that are not configured are not imported
     from .config.options import Options
     from .control.server import ControlServer
     from .dns.front import DnsFront
@@ -35,12 +36,17 @@
 Clock = Callable[[], float]
 
 
-def build_protocols(
+def build_connection_factory(
     options: Options | None, previous: ConnectionFactory | None = None
 ) -> ConnectionFactory | None:
-    """Builds what is needed to speak HTTP/2 or TLS to servers; None: HTTP/1.1 in the clear for all.
+    """Builds the factory of HTTP/2 and TLS connections to servers.
 
-    `previous` keeps what was learned of each server's protocols.
+    Args:
+        options: The director's options.
+        previous: The factory to replace; the results of its protocol negotiations are reused.
+
+    Returns:
+        The factory; None if every server is contacted over HTTP/1.1 without TLS.
     """
     if options is None or not options.http2.is_used:
         return None
@@ -55,7 +61,10 @@
     counters: Counters,
     alpn_of: Callable[[str], tuple[bool, tuple[str, ...]]],
 ) -> DnsFront | None:
-    """Builds the DNS front; `alpn_of` tells of a server whether TLS is used, and which protocols."""
+    """Builds the DNS front.
+
+    `alpn_of` returns for a server's name whether TLS is used, and the server's ALPN protocol ids.
+    """
     if settings is None:
         return None
     from .dns.front import DnsFront
@@ -71,7 +80,7 @@
     deadlines: Deadlines,
     counters: Counters,
 ) -> tuple[MembershipTransport | None, TaskRunner | None]:
-    """Builds the membership and the periodic tasks that members share."""
+    """Builds the membership protocol of `[members]` and the periodic tasks that its members share."""
     if options is None or options.members is None:
         return None, None
     from .duties.start import build_shared_tasks
@@ -87,7 +96,7 @@
     counters: Counters,
     log: Callable[[str], None],
 ) -> HttpProxy | None:
-    """Builds the HTTP front of `[front.http]`."""
+    """Builds the HTTP proxy of `[front.http]`."""
     if options is None or options.front.http is None:
         return None
     from .web.start import HttpProxy
@@ -120,7 +129,10 @@
     deadlines: Deadlines,
     counters: Counters,
 ) -> tuple[LeaseService, LeaseAddress] | None:
-    """Builds the leases of `[leases]`, which need a store, and tells where they listen."""
+    """Builds the lease service of `[leases]`; returns it with the address that it listens at.
+
+    Leases need a store: without one, the result is None.
+    """
     if options is None or options.leases is None or store is None:
         return None
     from .leases.start import build_lease_service
@@ -135,7 +147,7 @@
     store: PersistenceService | None,
     leases: tuple[LeaseService, LeaseAddress] | None,
 ) -> ControlServer | None:
-    """Builds the operators' control socket, with a view for each part that is on."""
+    """Builds the operators' control socket, with query handlers for each enabled part."""
     if options is None or options.control is None:
         return None
     from .control.server import ControlServer
@@ -146,7 +158,7 @@
 
         control.handlers["members"] = lambda _: membership_status(duties)
     if store is not None:
-        control.handlers["store"] = lambda given: store.status()
+        control.handlers["store"] = lambda arguments: store.status()
     if leases is not None:
         from .leases.view import add_views
 
@@ -155,14 +167,14 @@
 
 
 def load_dns_settings(options: Options, own_host: str) -> DnsConfig | None:
-    """Reads the DNS front's settings from `[dns]`; None if they come from a file of their own."""
+    """Reads the DNS front's settings from `[dns]`; returns None if the table is absent or not enabled."""
     from .dns.settings import configured_dns
 
     return configured_dns(options, own_host)
 
 
 def load_member_keys(options: Options) -> tuple[AuthenticationKey, ...]:
-    """Reads the members' key ring; empty if members are off."""
+    """Reads the key ring of `[members]`; returns an empty tuple if the table is absent."""
     if options.members is None:
         return ()
     from .members.authenticator import load_key_ring
@@ -171,7 +183,7 @@
 
 
 def load_router(options: Options) -> Router | None:
-    """Reads the imported routing table; None if the HTTP front is off."""
+    """Reads the imported routing table of `[front.http]`; returns None if the table is absent."""
     if options.front.http is None:
         return None
     from .web.start import load_routing
@@ -181,11 +193,11 @@
 
 @dataclass(slots=True)
 class Reloaded:
-    """Everything read anew on SIGHUP and checked, before any of it takes effect."""
+    """The configuration that SIGHUP reloads: all of it is read and checked before any of it takes effect."""
 
     config: PlatformConfig
     options: Options | None
-    protocols: ConnectionFactory | None
+    upstream_factory: ConnectionFactory | None
     member_keys: tuple[AuthenticationKey, ...] = ()
     router: Router | None = None
     dns: DnsConfig | None = None
@@ -194,19 +206,23 @@
 def read_reloaded(
     environ: Mapping[str, str],
     options: Options | None,
-    protocols: ConnectionFactory | None,
+    upstream_factory: ConnectionFactory | None,
     has_dns: bool,
     has_members: bool,
     has_web: bool,
 ) -> Reloaded:
-    """Reads the platform's configuration and, if there is one, our own options file again."""
-    reloaded = Reloaded(load_config(environ), options, protocols)
+    """Reads the platform's configuration again and, if there is one, the director's options file.
+
+    Raises:
+        ConfigError: A file cannot be used.
+    """
+    reloaded = Reloaded(load_config(environ), options, upstream_factory)
     if options is None:
         return reloaded
     from .config.options import load_options
 
     options = reloaded.options = load_options(options.path)
-    reloaded.protocols = build_protocols(options, protocols)
+    reloaded.upstream_factory = build_connection_factory(options, upstream_factory)
     if has_members:
         reloaded.member_keys = load_member_keys(options)
     if has_web:
