--- a/gladewalk/config/__init__.py
+++ b/gladewalk/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's file and settings, the director's own options file, key ring files."""
+"""Configuration: the platform's file and settings, the director's options file, and key ring files."""
--- a/gladewalk/config/key_ring_file.py
+++ b/gladewalk/config/key_ring_file.py
@@ -1,4 +1,7 @@
-"""Loads key ring files: one key a line in hexadecimal, readable by the owner alone. No key is ever logged."""
+"""Loads key ring files: one hexadecimal key per line, accessible only by the file's owner.
+
+Keys are never logged, and no error text contains one.
+"""
 
 from __future__ import annotations
 
@@ -13,17 +16,17 @@
 
 
 def load_hex_keys(path: Path, setting: str, min_bytes: int, max_bytes: int = MAX_KEY_BYTES) -> list[bytes]:
-    """Returns the keys of a file in their order; lines that are empty or begin with `#` are skipped.
+    """Returns the keys of a file in file order; empty lines and lines that begin with `#` are skipped.
 
     Args:
         path: The file.
-        setting: The key of the options file that names it, for the text of an error.
-        min_bytes: Length that a key must have at least.
-        max_bytes: And at most.
+        setting: The setting in the options file that names the key ring file, for error texts.
+        min_bytes: Minimum length of a key.
+        max_bytes: Maximum length of a key.
 
     Raises:
-        ConfigError: The file cannot be read or others may access it; a key is no hexadecimal text, has
-            another length, or stands there twice; there is no key. The text never contains a key.
+        ConfigError: The file cannot be read, is accessible by users other than its owner or contains no key;
+            or a key is not hexadecimal, has the wrong length or is a duplicate. The text contains no key.
     """
     keys = [
         _parse_key(line, f"{path}: {setting}: key {number}", min_bytes, max_bytes)
@@ -40,7 +43,7 @@
     try:
         descriptor = os.open(path, os.O_RDONLY)
         with os.fdopen(descriptor, encoding="ascii") as file:
-            # A key that others can read is known to more than its owner.
+            # A key that other users can read is not secret.
             if stat.S_IMODE(os.fstat(file.fileno()).st_mode) & OTHERS_ACCESS_BITS:
                 raise ConfigError(f"{path}: {setting}: others than its owner may read it (chmod 600)")
             return [line.strip() for line in file if line.strip() and not line.startswith("#")]
@@ -55,7 +58,7 @@
     try:
         key = bytes.fromhex(line)
     except ValueError:
-        # Not chained: nothing about a key's text belongs in a traceback.
+        # `from None`, as the original exception would show part of the key in a traceback.
         raise ConfigError(f"{where} is not {wanted} bytes in hex") from None
     if not min_bytes <= len(key) <= max_bytes:
         raise ConfigError(f"{where} is not {wanted} bytes in hex")
--- a/gladewalk/config/option_tables.py
+++ b/gladewalk/config/option_tables.py
@@ -1,7 +1,7 @@
-"""Tables of the director's own TOML file, as typed and validated structures.
+"""Tables of the director's options file (TOML), as typed and validated structures.
 
-A field's name differs from its key in the file where a class's `rename` says so: keys are part of the
-interface to operators and stay as they are. Times are milliseconds (`_ms`) unless the name has another unit.
+A class's `rename` lists the fields whose key in the file differs from the field's name: operators' files must
+stay valid, so keys are not renamed. Times are in milliseconds (`_ms`) unless the name has another unit.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 Http2Mode = Literal["off", "h2c", "tls"]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 DurationMs = Annotated[float, Meta(ge=1.0, le=3_600_000.0)]
-PeriodMs = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]  # 0: never
+PeriodMs = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]  # 0 disables the task
 RatePerSecond = Annotated[float, Meta(gt=0.0, le=1_000_000.0)]
-RateLimitPerSecond = Annotated[float, Meta(ge=0.0, le=1e6)]  # 0: no limit
+RateLimitPerSecond = Annotated[float, Meta(ge=0.0, le=1e6)]  # 0 means no limit
 TtlMs = Annotated[float, Meta(ge=1_000.0, le=3_600_000.0)]
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; an unknown key is an error, since it mostly is a misspelt one."""
+    """A table of the file; an unknown key is an error, as it is most often a misspelt one."""
 
 
 class Http2Options(
@@ -42,25 +42,25 @@
         "max_drain_ms": "drain_ms",
     },
 ):
-    """`[http2]`: over which protocol servers are spoken to, and the bounds on shared connections.
+    """`[http2]`: the protocol used towards each server, and limits on HTTP/2 connections.
 
     Attributes:
-        mode: The protocol of servers that neither map names.
-        by_model: The protocol by a server's model.
-        by_uid: The protocol of single servers, ahead of their model's.
-        max_connections: To one server; draining ones do not count.
-        max_streams: On one connection, whatever its server allows.
+        mode: Protocol of servers that are in neither `by_model` nor `by_uid`.
+        by_model: Protocol by a server's model.
+        by_uid: Protocol by a server's uid; takes precedence over `by_model`.
+        max_connections: Maximum connections to one server, without those that drain.
+        max_streams: Maximum streams per connection, even if the server allows more.
         stream_window_bytes: Flow-control window of a stream (RFC 9113, section 5.2).
         connection_window_bytes: Flow-control window of a connection.
-        ping_after_ms: Silence, with a stream open, after which a PING is sent.
-        ping_timeout_ms: Silence after the PING that makes the connection count as dead.
-        http1_fallback_ms: How long a server that required HTTP/1.1 is not offered HTTP/2.
+        ping_after_ms: Time without received data, with a stream open, after which a PING is sent.
+        ping_timeout_ms: Time without received data after the PING before the connection is closed as dead.
+        http1_fallback_ms: How long only HTTP/1.1 is used for a server after it required HTTP/1.1.
         calm_backoff_ms: How long a server gets no new stream after ENHANCE_YOUR_CALM; doubles up to 16-fold.
-        reset_burst: RST_STREAM frames that one connection may be sent at once.
-        resets_per_s: And over time; a stream given up beyond that runs out unread.
-        control_frame_burst: Frames without payload that a server may send at once.
-        control_frames_per_s: And over time; more end the connection.
-        max_drain_ms: A connection that is being replaced is cut after this long.
+        reset_burst: Maximum RST_STREAM frames sent on one connection in a burst.
+        resets_per_s: Sustained rate of RST_STREAM frames; beyond it an abandoned stream is read to its end.
+        control_frame_burst: Maximum frames without payload that are accepted from a server in a burst.
+        control_frames_per_s: Sustained rate of such frames; a server that exceeds it is disconnected.
+        max_drain_ms: Time after which a draining connection is closed, even with open streams.
     """
 
     mode: Http2Mode = "off"
@@ -81,28 +81,28 @@
     max_drain_ms: DurationMs = 30_000.0
 
     def mode_of(self, uid: str, model: str) -> Http2Mode:
-        """Returns the mode of a server."""
+        """Returns the protocol to use towards a server."""
         return self.by_uid.get(uid) or self.by_model.get(model) or self.mode
 
     @property
     def modes(self) -> frozenset[Http2Mode]:
-        """Every mode that any server may have."""
+        """All modes that occur in the table."""
         return frozenset((self.mode, *self.by_model.values(), *self.by_uid.values()))
 
     @property
     def is_used(self) -> bool:
-        """Whether any server may be spoken to over HTTP/2."""
+        """Whether HTTP/2 is enabled for any server."""
         return self.modes != {"off"}
 
 
 class TlsOptions(Table, frozen=True):
-    """`[tls]`: certificates towards servers; paths are relative to the file.
+    """`[tls]`: certificates for connections to servers; paths are relative to the options file.
 
     Attributes:
-        ca: The authorities that servers' certificates must be signed by.
-        certificate: The director's own certificate, if servers ask for one; goes with `key`.
-        key: Its private key.
-        name: The name that a server's certificate must have; `{uid}` and `{model}` are replaced.
+        ca: File of the certificate authorities that may sign servers' certificates.
+        certificate: File of the director's client certificate, for servers that require one; needs `key`.
+        key: File of the private key of `certificate`.
+        name: Name that a server's certificate must have; `{uid}` and `{model}` are replaced.
     """
 
     ca: str = ""
@@ -133,39 +133,39 @@
     """`[dns]`: the DNS front.
 
     Attributes:
-        listen: Address for UDP and TCP.
-        zone: The zone whose names are resolved.
-        enabled: False turns the front off and keeps the table.
-        own_address: Answered where no cache may be named; the director's own host by default.
-        transfers_per_answer: Transfers at a time that one cached answer may bring to a cache.
-        max_wait_ms: How long a query may wait for its answer.
-        zones: Further zones, with the same names below them.
-        nameservers: Names of name servers, each with its addresses as glue.
+        listen: Address of the listeners for UDP and TCP.
+        zone: Zone whose names are resolved.
+        enabled: False disables the DNS front without removing the table.
+        own_address: Address in answers that may name no cache; the director's host by default.
+        transfers_per_answer: Concurrent transfers that one cached answer may cause, until it is measured.
+        max_wait_ms: Maximum time that a query waits for its answer.
+        zones: Additional zones that contain the same names.
+        nameservers: Names of the zone's name servers, each with its addresses, which are sent as glue.
         hostmaster: Mailbox of the SOA record (RFC 1035, section 3.3.13).
         negative_ttl_s: TTL of negative answers (RFC 2308).
-        records: A master file (RFC 1035, section 5) with further records.
-        open_classes: Classes below which any other name is the director itself.
+        records: Master file (RFC 1035, section 5) with additional records.
+        open_classes: Request classes below which any unknown name resolves to the director itself.
         nsid: Name server identifier (RFC 5001).
-        max_udp_bytes: Size of a UDP answer that passes unfragmented.
-        max_amplification: Size of a UDP answer over that of its query.
-        cookies: A file of keys for DNS cookies (RFC 7873); empty: none.
-        answers_per_s: Response rate limit: like answers to one network over UDP.
-        slip: Each so many of the answers over the limit is sent truncated; 0: none.
-        network_queries_per_s: Queries of one network.
-        queries_per_s: Queries of all clients.
-        max_loop_fraction: Of the event loop's time that UDP may take.
-        max_tcp_connections: Open at once, over TLS as well.
-        max_tcp_connections_per_client: Of them by one client.
-        max_tcp_open_queries: Queries of one connection that wait at a time.
-        tcp_idle_timeout_ms: After which an idle connection is closed.
-        max_transfers_per_answer: Upper bound on what is measured for `transfers_per_answer`.
-        min_ttl_ms: TTL of answers with a cold or full cache.
-        max_ttl_ms: TTL of other answers.
-        after_restart: What a start without `[store]` assumes resolvers to have cached.
-        ecs_from: Networks of resolvers whose client subnet (RFC 7871) is believed.
-        tls_listen: Address for DNS over TLS (RFC 7858).
-        tls_certificate: Its certificate.
-        tls_key: Its private key.
+        max_udp_bytes: Maximum size of a UDP answer; the default avoids fragmentation.
+        max_amplification: Maximum size of a UDP answer relative to the size of its query.
+        cookies: Key ring file for DNS cookies (RFC 7873); empty disables cookies.
+        answers_per_s: Response rate limit for similar answers to one client network over UDP.
+        slip: Every n-th answer over that limit is sent truncated instead of dropped; 0: none is.
+        network_queries_per_s: Rate limit for the queries of one client network.
+        queries_per_s: Rate limit for the queries of all clients.
+        max_loop_fraction: Maximum fraction of the event loop's time that is spent on UDP queries.
+        max_tcp_connections: Maximum open TCP connections, those with TLS included.
+        max_tcp_connections_per_client: Maximum open TCP connections of one client.
+        max_tcp_open_queries: Maximum queries of one connection that wait for their answers.
+        tcp_idle_timeout_ms: Time after which an idle connection is closed.
+        max_transfers_per_answer: Upper bound on the measured transfers per answer of a resolver.
+        min_ttl_ms: TTL of answers that name a cache that is cold or near its capacity.
+        max_ttl_ms: TTL of all other answers.
+        after_restart: What a director without `[store]` assumes at start that resolvers have cached.
+        ecs_from: Networks of resolvers whose client subnet option (RFC 7871) is trusted.
+        tls_listen: Address of the listener for DNS over TLS (RFC 7858).
+        tls_certificate: Certificate file for `tls_listen`.
+        tls_key: File of the private key of `tls_certificate`.
     """
 
     listen: str
@@ -213,16 +213,16 @@
         "resumes_feed": "resume",
     },
 ):
-    """`[store]`: what outlives a restart, and how durably.
+    """`[store]`: state that survives a restart, and how durably it is stored.
 
     Attributes:
-        folder: Where the segments are.
-        policy: When a write is acknowledged: after its own fsync, after a group's, or at once.
-        group_commit_ms: How long a group waits for further writes.
-        max_bytes: Size on disk that compaction keeps.
-        snapshot_interval_ms: Interval of the warm-start snapshot; 0: none.
-        resumes_feed: Ask the coordinator only for events after the last one stored.
-        segment_bytes: Size of a segment.
+        folder: Folder of the store's segments.
+        policy: When a write is acknowledged: after its own fsync, after its group's fsync, or at once.
+        group_commit_ms: How long a group of writes waits for more writes before its fsync.
+        max_bytes: Size on disk that compaction maintains.
+        snapshot_interval_ms: Interval of the warm-start snapshot; 0 disables it.
+        resumes_feed: Request only the coordinator's events after the last stored one.
+        segment_bytes: Size at which a new segment is started.
     """
 
     folder: Annotated[str, Meta(min_length=1)]
@@ -243,14 +243,14 @@
         "max_body_bytes": "body_most",
     },
 ):
-    """`[front.http]`: ordinary HTTP requests, routed as an imported table says.
+    """`[front.http]`: a proxy for ordinary HTTP requests, routed by an imported table.
 
     Attributes:
-        site: A table written by `gladewalk import`.
-        listen: The director's addresses, each with the listen directive that it stands for.
-        max_client_connections: Open at once.
-        max_upstream_connections: To all upstreams together.
-        max_body_bytes: Of a request's body, which is held in memory.
+        site: Routing table written by `gladewalk import`.
+        listen: The proxy's listening addresses, each with the nginx listen directive that it replaces.
+        max_client_connections: Maximum open client connections.
+        max_upstream_connections: Maximum open connections to all upstreams together.
+        max_body_bytes: Maximum size of a request body, which is buffered in memory.
     """
 
     site: Annotated[str, Meta(min_length=1)]
@@ -261,7 +261,7 @@
 
 
 class FrontOptions(Table, frozen=True):
-    """`[front]`: further fronts, each off without its table."""
+    """`[front]`: additional fronts, each disabled unless its table is present."""
 
     http: FrontHttpOptions | None = None
 
@@ -277,19 +277,19 @@
         "min_suspicion_ms": "suspicion_ms",
     },
 ):
-    """`[members]`: the group of directors, and how failures in it are detected.
+    """`[members]`: the membership protocol of a group of directors, with failure detection.
 
     Attributes:
-        listen: Address for datagrams and streams.
-        keys: A key ring file, see `load_hex_keys`.
-        seeds: Addresses to join through.
-        networks: Networks from which datagrams are read at all.
-        max_clock_skew_ms: Clock skew between members that message authentication allows.
-        dial_addresses: Addresses that are reached at another than they announce.
-        ping_period_ms: Protocol period (Das et al., 2002).
-        max_stall_ms: How long a paused member is kept.
-        min_suspicion_ms: Shortest time from suspicion to failure.
-        weight: This director's part of the periodic tasks, relative to the other members.
+        listen: Address of the listeners for datagrams and streams.
+        keys: Key ring file, see `load_hex_keys`.
+        seeds: Addresses of members to contact when joining the group.
+        networks: Networks that datagrams and streams are accepted from.
+        max_clock_skew_ms: Maximum clock skew between members that message authentication tolerates.
+        dial_addresses: Addresses to connect to in place of the addresses that members announce.
+        ping_period_ms: Protocol period of the failure detector (Das et al., 2002).
+        max_stall_ms: How long a member is kept that still accepts connections but does not respond.
+        min_suspicion_ms: Minimum time from suspicion to declared failure.
+        weight: This director's share of the periodic tasks, relative to the other members.
     """
 
     listen: str
@@ -314,13 +314,13 @@
         "max_checks_per_s": "probes_per_s",
     },
 ):
-    """`[duties]`: periodic tasks that are divided among the members.
+    """`[duties]`: periodic tasks that are distributed among the members.
 
     Attributes:
-        cache_check_interval_ms: Interval of each cache's health check, `GET /load`; 0: none.
-        source_check_interval_ms: Interval of each parent's and the origin's, `GET /alive`; 0: none.
-        max_result_age_ms: Age up to which another member's result is used.
-        max_checks_per_s: Health checks of all members together; 0: no limit.
+        cache_check_interval_ms: Interval of each cache's health check, `GET /load`; 0 disables it.
+        source_check_interval_ms: Interval of parents' and the origin's check, `GET /alive`; 0 disables it.
+        max_result_age_ms: Maximum age of another member's check result that is used.
+        max_checks_per_s: Rate limit for the health checks of all members together; 0 means no limit.
     """
 
     cache_check_interval_ms: PeriodMs = 1_000.0
@@ -339,23 +339,23 @@
         "fence_interval_ms": "act_ms",
     },
 ):
-    """`[leases]`: tasks that one director alone does at a time, leased by a majority of `peers`.
+    """`[leases]`: tasks that only one director performs at a time, with a lease from a majority of `peers`.
 
     Attributes:
-        listen: Address for datagrams.
-        keys: A key ring file, see `load_hex_keys`.
-        peers: Every voter by name, this director among them, with its address.
-        duties: Further leases, each with the fenced resource (HOST:PORT) that gets its token.
-        hubs: Where the lease holder forwards purges to.
-        report_to: The collector that the lease holder sends the fleet's report to.
-        report_interval_ms: Interval of the report.
-        max_clock_skew_ms: Clock skew between directors that message authentication allows.
+        listen: Address of the listener for datagrams.
+        keys: Key ring file, see `load_hex_keys`.
+        peers: Addresses of all voters by name, including this director.
+        duties: Additional leases by name, each with the fenced resource (HOST:PORT) that receives its token.
+        hubs: Addresses of the hub caches that the lease holder forwards purges to.
+        report_to: Address of the collector that the lease holder sends the fleet's report to.
+        report_interval_ms: Interval of the fleet's report.
+        max_clock_skew_ms: Maximum clock skew between directors that message authentication tolerates.
         lease_ms: Duration of a lease.
-        max_clock_drift: Largest relative error of a clock's rate.
-        stop_margin_ms: A holder stops this long before its lease ends.
+        max_clock_drift: Maximum relative error of a clock's rate.
+        stop_margin_ms: A holder stops the task this long before its lease ends.
         grant_margin_ms: A voter waits this long past a lease before it votes for another holder.
         fence_interval_ms: Interval at which a holder sends its token to the fenced resources.
-        clock_rate: Rate of the clock, for tests with clocks that drift.
+        clock_rate: Rate of the director's clock; tests set it to simulate clock drift.
     """
 
     listen: str
@@ -375,17 +375,17 @@
 
 
 class ControlOptions(Table, frozen=True):
-    """`[control]`: where commands reach the running director.
+    """`[control]`: the socket through which commands query the running director.
 
     Attributes:
-        socket: Path of a Unix socket, accessible by its owner alone.
+        socket: Path of a Unix socket, accessible only by its owner.
     """
 
     socket: Annotated[str, Meta(min_length=1)]
 
 
 class OptionTables(Table, frozen=True):
-    """The whole file; what has no table stays off and is not imported."""
+    """The whole file; an optional part without its table is disabled and not imported."""
 
     http2: Http2Options = Http2Options()
     tls: TlsOptions = TlsOptions()
--- a/gladewalk/config/options.py
+++ b/gladewalk/config/options.py
@@ -1,4 +1,4 @@
-"""The director's own options: the TOML file that `--config` names, checked as a whole."""
+"""The director's options file: loads the TOML file that `--config` names and checks it as a whole."""
 
 from __future__ import annotations
 
@@ -26,12 +26,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """The file as it was read.
+    """The contents of an options file. Each table is an attribute of its name.
+
+    A table is None if it is absent and not all of its settings have a default.
 
     Attributes:
-        path: The file, as it was named.
-        folder: What paths in the file are relative to.
-        http2: `[http2]`, and so on: a table by its name; None where it is absent and has no defaults.
+        path: The file's path, as it was given.
+        folder: The folder that relative paths in the file are resolved against.
     """
 
     path: str
@@ -47,15 +48,15 @@
     store: StoreOptions | None
 
     def resolve_path(self, name: str) -> Path:
-        """Resolves a path that the file names."""
+        """Returns the path of a file or folder that the options name, relative to the options file."""
         return self.folder / name
 
 
 def load_options(path: str) -> Options:
-    """Loads the file.
+    """Loads an options file.
 
     Raises:
-        ConfigError: It cannot be used; one line, `file: table.key: why`.
+        ConfigError: The file cannot be used; the text is one line, `file: table.key: why`.
     """
     tables = load_toml(path, OptionTables)
     with prefix_config_errors(path):
@@ -64,11 +65,11 @@
 
 
 def read_option_tables(raw: Any) -> OptionTables:
-    """Converts and checks the content of a file.
+    """Converts and checks the parsed contents of an options file.
 
     Raises:
-        msgspec.ValidationError: A table or a key cannot be converted.
-        ConfigError: Values contradict one another.
+        msgspec.ValidationError: A table or a setting cannot be converted.
+        ConfigError: Settings contradict each other.
     """
     tables = msgspec.convert(raw, OptionTables)
     check_tables(tables)
@@ -76,7 +77,7 @@
 
 
 def build_options(tables: OptionTables, path: str, folder: Path) -> Options:
-    """Combines tables with the file that they come from."""
+    """Combines tables with the path and folder of the file that they were read from."""
     return Options(
         path=path,
         folder=folder,
@@ -93,10 +94,10 @@
 
 
 def check_tables(tables: OptionTables) -> None:
-    """Checks what no single key shows.
+    """Checks constraints that involve several settings or go beyond a setting's type.
 
     Raises:
-        ConfigError: Values contradict one another; the text begins with the key.
+        ConfigError: A constraint is violated; the text begins with the setting's key.
     """
     if "tls" in tables.http2.modes and not tables.tls.ca:
         raise ConfigError("tls.ca: is missing, and http2 has the mode 'tls'")
--- a/gladewalk/config/toml_file.py
+++ b/gladewalk/config/toml_file.py
@@ -1,4 +1,4 @@
-"""Reads TOML files into typed tables; every error becomes one line, `file: table.key: why`."""
+"""Reads TOML files into typed tables; reports each error as one line, `file: table.key: why`."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 SYNTAX_ERROR_PREFIX = "not valid TOML: "
 
-# The texts of msgspec's ValidationError.
-WHERE_PATTERN = re.compile(r" - at `\$\.?(.*)`\Z")
+# These patterns match the texts of msgspec's ValidationError.
+LOCATION_PATTERN = re.compile(r" - at `\$\.?(.*)`\Z")
 UNKNOWN_FIELD_PATTERN = re.compile(r"Object contains unknown field `(.*)`\Z")
 MISSING_FIELD_PATTERN = re.compile(r"Object missing required field `(.*)`\Z")
 
@@ -31,10 +31,10 @@
     Args:
         path: The file.
         table: The type to convert to.
-        syntax_error_prefix: What stands before the parser's own words if the file is no TOML.
+        syntax_error_prefix: Text in front of the parser's message if the file is not valid TOML.
 
     Raises:
-        ConfigError: The file cannot be read, is no TOML, or does not convert.
+        ConfigError: The file cannot be read, is not valid TOML, or cannot be converted to the type.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -48,10 +48,10 @@
 def parse_toml(
     text: str, table: type[TableT], path: str | Path, syntax_error_prefix: str = SYNTAX_ERROR_PREFIX
 ) -> TableT:
-    """Converts the text of a file to a table; `path` begins the line of an error.
+    """Converts the text of a file to a table; error texts begin with `path`.
 
     Raises:
-        ConfigError: The text is no TOML or does not convert.
+        ConfigError: The text is not valid TOML or cannot be converted to the type.
     """
     try:
         return msgspec.convert(tomllib.loads(text), table)
@@ -63,7 +63,7 @@
 
 @contextmanager
 def prefix_config_errors(path: str | Path) -> Iterator[None]:
-    """Prefixes the file's path to the text of any `ConfigError` that the block raises."""
+    """Prefixes the file's path to the text of any `ConfigError` raised in the `with` block."""
     try:
         yield
     except ConfigError as error:
@@ -71,16 +71,16 @@
 
 
 def describe_error(error: msgspec.ValidationError) -> str:
-    """Renders a validation error as `table.key: why`."""
-    text, where = str(error), ""
-    if found := WHERE_PATTERN.search(text):
-        text, where = text[: found.start()], found[1].replace("[...]", "")
-    if found := UNKNOWN_FIELD_PATTERN.match(text):
-        return f"{_join_keys(where, found[1])}: no such setting"
-    if found := MISSING_FIELD_PATTERN.match(text):
-        return f"{_join_keys(where, found[1])}: is missing"
-    return f"{where or 'the file'}: {text[:1].lower()}{text[1:]}"
-
-
-def _join_keys(where: str, key: str) -> str:
-    return f"{where}.{key}" if where else key
+    """Formats a validation error as `table.key: why`."""
+    text, table_path = str(error), ""
+    if match := LOCATION_PATTERN.search(text):
+        text, table_path = text[: match.start()], match[1].replace("[...]", "")
+    if match := UNKNOWN_FIELD_PATTERN.match(text):
+        return f"{_join_keys(table_path, match[1])}: no such setting"
+    if match := MISSING_FIELD_PATTERN.match(text):
+        return f"{_join_keys(table_path, match[1])}: is missing"
+    return f"{table_path or 'the file'}: {text[:1].lower()}{text[1:]}"
+
+
+def _join_keys(table_path: str, key: str) -> str:
+    return f"{table_path}.{key}" if table_path else key
