--- a/gladewalk/config/platform.py
+++ b/gladewalk/config/platform.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration file, named by `NODE_CONFIG`, into a `PlatformConfig`."""
+"""Reads the platform's JSON configuration file, named by `NODE_CONFIG`, into a `PlatformConfig`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .policy_settings import read_roles, read_settings, require_field, value_or
 
 Address = tuple[str, int]
-"""A host, by its literal address or its name, and a port."""
+"""A host (an IP address or a host name) and a port."""
 
 DEFAULT_MAX_DESCRIPTORS = 1_024
 DEFAULT_MEMORY_LIMIT_MB = 64.0
@@ -24,40 +24,40 @@
 FIRST_INHERITED_DESCRIPTOR = 3
 
 CONVERSION_ERRORS = (ValueError, TypeError, AttributeError, OverflowError)
-"""What Python raises for a field of the file that has not the expected type or is out of range."""
+"""Exceptions that Python raises while a field of an unexpected type or out of range is converted."""
 
 ENDPOINT_STATES = {
     "SERVING": api.ServerState.READY,
     "DRAINING": api.ServerState.DRAINING,
     "DELETED": api.ServerState.GONE,
 }
-"""States of an endpoint on the coordinator's list."""
+"""The states of an endpoint in the coordinator's list, and the server states that they stand for."""
 
 
 class ConfigError(GladewalkError):
-    """A configuration cannot be used; the text says why in one line."""
+    """A configuration cannot be used; the text is one line that says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlatformConfig:
-    """What the platform tells one director.
+    """The configuration that the platform gives to one director.
 
     Attributes:
         name: The director's name.
-        listen: Where clients connect.
-        coordinator: Where endpoint lists and purges come from.
+        listen: The address that clients connect to.
+        coordinator: The address of the coordinator, which sends endpoint lists and purges.
         seed: Seed of the decision module's random numbers.
-        max_descriptors: File descriptors that connections may use.
-        memory_limit_mb: Memory that the process may use.
-        connect_timeout_ms: How long a connection to a server may take to open.
-        idle_timeout_ms: After how long servers close an idle connection.
+        max_descriptors: Maximum number of file descriptors for connections.
+        memory_limit_mb: Maximum memory of the process.
+        connect_timeout_ms: Timeout for opening a connection to a server.
+        idle_timeout_ms: Time after which servers close an idle connection.
         settings: The decision module's settings.
-        roles: The models of servers that are parents or the origin.
+        roles: The server models that are parents or the origin, with their roles.
         initial_event_index: Index of the last event that the file includes.
         initial_events: Events of the coordinator's feed that the file includes.
-        admin: The second address, for operators' calls; None without one.
-        inherited_fd: The clients' listening socket if the platform holds it.
-        sends_hold_off: Rejected clients are told in ms, beside `Retry-After`, how long to stay away.
+        admin: The second address, for operators' requests; None if there is none.
+        inherited_fd: Descriptor of the clients' listening socket if the platform opened it, else None.
+        sends_hold_off: Whether a rejection tells the retry delay in ms, in addition to `Retry-After`.
     """
 
     name: str
@@ -78,22 +78,23 @@
 
 
 class Endpoint(NamedTuple):
-    """An entry of the coordinator's list: the server, and where to connect to it; None once it is gone."""
+    """An entry of the coordinator's list: the server and its address, which is None for a deleted server."""
 
     server: api.Server
     address: Address | None
 
 
 def read_address(text: Any) -> Address:
-    """Parses `HOST:PORT`, an IPv6 address in brackets.
+    """Parses `HOST:PORT`; an IPv6 address must be in brackets.
 
     Raises:
-        ConfigError: It has another form, a port out of range, or a host that no lookup can take (RFC 5890).
+        ConfigError: The text has another form, the port is out of range, or the host is not a valid name
+            (RFC 5890).
     """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"not an address of the form HOST:PORT: {text!r}")
-    try:  # a name that cannot be encoded would otherwise fail only when it is connected to
+    try:  # a name that cannot be encoded would otherwise fail only when a connection is opened
         host.encode("idna")
     except UnicodeError as error:
         raise ConfigError(f"not a name of a host: {text!r}") from error
@@ -106,7 +107,8 @@
     """Loads the file that `NODE_CONFIG` names.
 
     Raises:
-        ConfigError: It cannot be read, is no JSON, or cannot be used; the text begins with its path.
+        ConfigError: `NODE_CONFIG` is not set; or the file cannot be read, is not valid JSON or cannot be
+            used, and then the text begins with its path.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
@@ -124,11 +126,14 @@
 
 
 def read_config(raw: Any, environ: Mapping[str, str]) -> PlatformConfig:
-    """Converts the parsed file; `NODE_NAME`, `NODE_LISTEN` and `NODE_ADMIN_ADDR` override what it says.
+    """Converts the parsed file.
+
+    `NODE_NAME`, `NODE_LISTEN` and `NODE_ADMIN_ADDR` override the values in the file.
 
     Raises:
-        GladewalkError: A part of it cannot be used.
-        ValueError: Likewise; other members of `CONVERSION_ERRORS` for a part of an unexpected type.
+        GladewalkError: A field cannot be used.
+        ValueError: A field has an invalid value; a field of an unexpected type may also raise another of
+            `CONVERSION_ERRORS`.
     """
     if not isinstance(raw, dict):
         raise ConfigError("not a JSON object")
@@ -166,10 +171,10 @@
 
 
 def _adapt_settings(settings: api.Settings, max_descriptors: int) -> api.Settings:
-    """Adds what holds for every running director, whatever the simulator's clients are given.
+    """Sets what is the same for every running director, unlike in the simulator.
 
-    HTTP has a field for advice to a rejected client. Clients hold a third of the descriptors at most, with
-    one request on each.
+    Rejections always carry a retry delay, as HTTP has a field for it (`Retry-After`). Client connections may
+    use at most a third of the descriptors, with one request on each connection.
     """
     adapted = replace(settings, sends_retry_after=True, client_connection_limit=max_descriptors // 3)
     api.validate_settings(adapted)
@@ -181,20 +186,22 @@
 
 
 def _read_descriptor(text: str | None) -> int | None:
-    """Parses `NODE_FD`, the number of an inherited listening socket."""
+    """Parses `NODE_FD`, the descriptor number of an inherited listening socket."""
     if not text:
         return None
     if not text.isdigit() or int(text) < FIRST_INHERITED_DESCRIPTOR:
-        raise ConfigError(f"NODE_FD: not a descriptor of the listener: {text!r}")
+        raise ConfigError(f"NODE_FD: not the descriptor number of an inherited listening socket: {text!r}")
     return int(text)
 
 
 def read_finite(value: Any) -> float:
-    """Converts to a float; JSON as Python reads it has infinities and NaN, which compute to nothing.
+    """Converts a value to a float and checks that it is finite.
+
+    Python's JSON parser accepts infinities and NaN, which would make later results meaningless.
 
     Raises:
         ConfigError: The number is not finite.
-        ValueError: It is no number; `TypeError` and `OverflowError` likewise.
+        ValueError: The value is not a number; may also be a `TypeError` or an `OverflowError`.
     """
     number = float(value)
     if not math.isfinite(number):
@@ -203,19 +210,21 @@
 
 
 def read_endpoint(entry: Any, roles: Mapping[Any, api.Role]) -> Endpoint:
-    """Converts one entry of the coordinator's list; the server's name is its lasting `uid`.
+    """Converts one entry of the coordinator's endpoint list.
+
+    The server's name is its `uid`, which stays the same if the server moves to another address.
 
     Raises:
-        GladewalkError: A field is missing or cannot be used; `CONVERSION_ERRORS` likewise.
+        GladewalkError: A field is missing or cannot be used; may also be one of `CONVERSION_ERRORS`.
     """
     if not isinstance(entry, dict):
-        raise ConfigError("an entry of the list is not an object")
+        raise ConfigError("an entry of the endpoint list is not an object")
     state = ENDPOINT_STATES.get(entry.get("state", ""))
     if state is None:
         raise ConfigError(f"unknown state {entry.get('state')!r}")
     capacity = read_finite(value_or(entry.get("capacity_hint"), 1.0))
     if capacity < 0.0:
-        raise ConfigError(f"a size under 0: {capacity}")
+        raise ConfigError(f"capacity_hint is negative: {capacity}")
     server = api.Server(
         name=require_field(entry, "uid", (str,)),
         role=roles.get(entry.get("model"), api.Role.CACHE),
--- a/gladewalk/config/policy_settings.py
+++ b/gladewalk/config/policy_settings.py
@@ -1,7 +1,7 @@
 """Converts the platform's settings object into the `Settings` of the decision module.
 
-Shared by the running director, which finds the object in its configuration file, and by the simulator
-adapter, which receives it over its wire. Keys that are not known are ignored.
+Used by the running director, which reads the object from its configuration file, and by the simulator
+adapter, which receives the object in a message. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     api.OutcomeDetail.NO_FILL_SLOT,
     api.OutcomeDetail.ORIGIN_FAILED,
 )
-"""Details of an outcome in the order of their numbers on the wires."""
+"""Details of an outcome, in the order of their numbers in messages (0 is NONE)."""
 
 LOAD_FIELD_NAMES = {
     "outstanding": "inflight",
@@ -57,20 +57,20 @@
     "x0": "x0",
     "x1": "x1",
 }
-"""Fields of a load report on the wire, and as the decision module names them."""
+"""Names of a load report's fields in messages, and the decision module's names for them."""
 
 JsonObject = dict[str, Any]
 
 
 class InvalidMessageError(GladewalkError):
-    """A settings object or a message lacks a field, or has one of the wrong type or value."""
+    """A field of a settings object or a message is missing or has the wrong type or value."""
 
 
 def require_field(message: JsonObject, key: str, kinds: tuple[type, ...] = (int, float)) -> Any:
-    """Returns a field that must be there with one of these types; a boolean does not pass for a number.
+    """Returns a required field of one of these types; a boolean is not accepted as a number.
 
     Raises:
-        InvalidMessageError: It is missing or of another type.
+        InvalidMessageError: The field is missing or of another type.
     """
     value = message.get(key)
     if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
@@ -81,10 +81,10 @@
 
 
 def require_positive(message: JsonObject, key: str, where: str, default: Any = None) -> Any:
-    """Returns a number over 0; `where` is the path of the object in the file.
+    """Returns a field that must be a number greater than 0; `where` is the path of the object in the file.
 
     Raises:
-        InvalidMessageError: The field, or the default in its absence, is no number over 0.
+        InvalidMessageError: The field, or the default if the field is absent, is not a number greater than 0.
     """
     value = value_or(message.get(key), default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
@@ -93,10 +93,10 @@
 
 
 def require_choice(choices: dict[str, Any], message: JsonObject, key: str) -> Any:
-    """Returns what the field's text stands for among the choices.
+    """Returns the value that the choices map the field's text to.
 
     Raises:
-        InvalidMessageError: The field is missing, no text, or none of the choices.
+        InvalidMessageError: The field is missing, is not a string, or is none of the choices.
     """
     name = require_field(message, key, (str,))
     if name not in choices:
@@ -107,12 +107,12 @@
 
 
 def item_or(values: Any, index: int, default: Any) -> Any:
-    """Returns the list's item; the default if there is no list or it is too short."""
+    """Returns the item at this index, or the default if `values` is not a list or is too short."""
     return values[index] if isinstance(values, list) and 0 <= index < len(values) else default
 
 
 def value_or(value: Any, default: Any) -> Any:
-    """Returns the value; the default in place of None, which is what an absent or a null field reads as."""
+    """Returns the value, or the default if the value is None, as it is for a field that is absent or null."""
     return default if value is None else value
 
 
@@ -120,8 +120,8 @@
     """Converts the settings object.
 
     Raises:
-        InvalidMessageError: A class or a limit cannot be used; other fields may raise `ValueError`,
-            `TypeError` or `AttributeError` when they are not of the expected type.
+        InvalidMessageError: A class or a limit cannot be used. Other fields of an unexpected type may raise
+            `ValueError`, `TypeError` or `AttributeError`.
     """
     specifics: JsonObject = value_or(raw.get("specifics"), {})
     settings = api.Settings(classes=_read_classes(raw, specifics))
@@ -160,7 +160,7 @@
 
 
 def _with_topology(settings: api.Settings, raw: JsonObject, specifics: JsonObject) -> api.Settings:
-    """Adds the dispatchers, the zones and the links between them."""
+    """Adds the number of dispatchers, the zones, and the links between zones."""
     return replace(
         settings,
         dispatcher_index=value_or(raw.get("me"), -1),
@@ -175,7 +175,7 @@
 
 
 def _with_limits(settings: api.Settings, limits: JsonObject) -> api.Settings:
-    """Adds what the dispatcher may do about a request."""
+    """Adds the limits on attempts, and which actions the dispatcher may take for a request."""
     return replace(
         settings,
         max_attempts=require_positive(limits, "most_tries", "settings.limits", 1),
@@ -189,7 +189,7 @@
 
 
 def _with_reporting(settings: api.Settings, raw: JsonObject, specifics: JsonObject) -> api.Settings:
-    """Adds what servers, discovery and answers tell the dispatcher."""
+    """Adds which information the dispatcher gets from servers, from discovery and from responses."""
     load_reporting = value_or(value_or(raw.get("feedback"), {}).get("how"), "silent")
     detail_level = value_or(specifics.get("note_level"), "silent")
     return replace(
@@ -203,7 +203,7 @@
 
 
 def _with_caching(settings: api.Settings, raw: JsonObject, specifics: JsonObject) -> api.Settings:
-    """Adds how caches are filled, what a transfer costs, and how purges take effect."""
+    """Adds how caches are filled, the costs of transfers, and the delays of purges."""
     sibling_sources = value_or(specifics.get("lateral"), "silent")
     return replace(
         settings,
@@ -218,7 +218,7 @@
 
 
 def _with_overload_rules(settings: api.Settings, rules: JsonObject, specifics: JsonObject) -> api.Settings:
-    """Adds draining, slow start, and the loads at which caches, parents and the origin fail."""
+    """Adds draining, slow start, and the load at which caches, parents and the origin fail."""
     return replace(
         settings,
         answer_slack_ms=value_or(rules.get("answer_slack_ms"), 0.0),
@@ -236,7 +236,7 @@
 
 
 def read_roles(raw: JsonObject) -> dict[Any, api.Role]:
-    """Returns the models of servers that are parents or the origin; every other model is a cache."""
+    """Returns the roles by server model, of parents and the origin; servers of other models are caches."""
     models, specifics = value_or(raw.get("kinds"), []), value_or(raw.get("specifics"), {})
     roles: dict[Any, api.Role] = {
         item_or(models, value_or(specifics.get("upper_kind"), -1), None): api.Role.PARENT,
@@ -247,7 +247,7 @@
 
 
 def read_load_report(load: Any) -> dict[str, float] | None:
-    """Returns a load report under the decision module's names; None for what is no object."""
+    """Returns a load report with the decision module's names; None if `load` is not an object."""
     if not isinstance(load, dict):
         return None
     return {LOAD_FIELD_NAMES.get(name, str(name)): value for name, value in load.items()}
