--- a/gladewalk/control/__init__.py
+++ b/gladewalk/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control socket: a Unix socket, off unless configured, over which its owner queries a running director."""
+"""Control socket: an optional Unix socket through which its owner queries a running director."""
--- a/gladewalk/control/client.py
+++ b/gladewalk/control/client.py
@@ -1,4 +1,4 @@
-"""Client of the control socket: sends one query and returns the answer, or raises the kind of failure."""
+"""Client of the control socket: sends one query and returns the response's data, or raises an error."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
 
 
 class ControlError(GladewalkError):
-    """A query got no data; the text is one line for the operator.
+    """A query returned no data; the text is one line for the operator.
 
     Attributes:
-        exit_code: What a command that fails for this reason exits with.
+        exit_code: The exit code of a command that fails for this reason.
     """
 
     exit_code: ClassVar[int] = 2
 
 
 class QueryRejectedError(ControlError):
-    """The director answered that it does not support the query, or why it cannot answer it."""
+    """The director responded with an error: it does not support the query or cannot carry it out."""
 
 
 class DirectorNotRunningError(ControlError):
-    """No director listens at the socket, or it closed the connection."""
+    """No director listens at the socket, or the director closed the connection without a response."""
 
     exit_code = 3
 
 
 class VersionMismatchError(ControlError):
-    """What answers speaks another version of the protocol, or another protocol."""
+    """The process at the socket uses another version of the protocol, or another protocol."""
 
     exit_code = 4
 
 
 class DirectorTimeoutError(ControlError):
-    """The director accepted the connection and did not answer in time."""
+    """The director did not respond in time."""
 
     exit_code = 5
 
@@ -59,10 +59,10 @@
 def query_director(
     path: Path, query: Query | str, timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS, **arguments: Any
 ) -> Any:
-    """Sends a query to the director behind a socket and returns the data of its answer.
+    """Sends a query to the director at a control socket and returns the data of its response.
 
     Raises:
-        ControlError: There is no data; its subclasses say why.
+        ControlError: The query returned no data; the subclass tells the reason.
     """
     request = ControlRequest(version=PROTOCOL_VERSION, query=query, arguments=arguments)
     line = _exchange(path, encoder.encode(request) + b"\n", timeout_seconds)
@@ -89,17 +89,17 @@
 
 
 def _read_line(connection: socket.socket) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     received_bytes = 0
     while received_bytes <= MAX_RESPONSE_BYTES:
-        part = connection.recv(RECEIVE_BYTES)
-        if not part:
+        chunk = connection.recv(RECEIVE_BYTES)
+        if not chunk:
             raise ConnectionResetError(None, "it closed without an answer")
-        parts.append(part)
-        received_bytes += len(part)
-        if part.endswith(b"\n"):
+        chunks.append(chunk)
+        received_bytes += len(chunk)
+        if chunk.endswith(b"\n"):
             break
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def _decode(path: Path, line: bytes) -> ControlResponse:
--- a/gladewalk/control/messages.py
+++ b/gladewalk/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the control protocol: JSON over a Unix socket, one object a line, each with a version."""
+"""Messages of the control protocol: one JSON object per line over a Unix socket, each with a version."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     """A query with its arguments.
 
     Attributes:
-        version: The sender's `PROTOCOL_VERSION`; a director rejects another than its own.
-        query: A value of `Query`, or a name that this version does not know.
-        arguments: What the query's handler is called with.
+        version: The sender's `PROTOCOL_VERSION`; a director rejects any version but its own.
+        query: A value of `Query`; a director rejects names that it does not support.
+        arguments: The arguments that the query's handler is called with.
     """
 
     version: int = msgspec.field(name="v")
@@ -26,12 +26,12 @@
 
 
 class ControlResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The answer to a request.
+    """The response to a request.
 
     Attributes:
         version: The director's `PROTOCOL_VERSION`.
-        data: What the query's handler returned; None along with an error.
-        error: One line that says why there is no data; empty if there is.
+        data: The return value of the query's handler; None if there is an error.
+        error: One line that says why the query failed; empty if it succeeded.
     """
 
     version: int = msgspec.field(name="v")
--- a/gladewalk/control/queries.py
+++ b/gladewalk/control/queries.py
@@ -1,4 +1,4 @@
-"""Names of the queries that a director may support."""
+"""Names of the control socket's queries."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Query(StrEnum):
-    """What a director can be asked for; the queries of a part that is off are not supported."""
+    """The queries of the control protocol; a director rejects the queries of parts that are not enabled."""
 
     LIST_QUERIES = "views"
     MEMBERS = "members"
--- a/gladewalk/control/server.py
+++ b/gladewalk/control/server.py
@@ -1,4 +1,4 @@
-"""Server of the control socket: decodes queries, calls their handlers and encodes what these return."""
+"""Server of the control socket: decodes queries, calls their handlers and encodes the responses."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from .queries import Query
 
 QueryHandler = Callable[[dict[str, Any]], Any]
-"""Takes the request's arguments and returns its data; raises `UnsupportedQueryError` if there is none."""
+"""Takes the request's arguments and returns the response's data, or raises `UnsupportedQueryError`."""
 
 MAX_SOCKET_PATH_BYTES = 107
-"""Length of a Unix socket's path, unix(7)."""
+"""Maximum length of a Unix socket's path, see unix(7)."""
 
 MAX_CONNECTIONS = 16
 IDLE_TIMEOUT_SECONDS = 30.0
@@ -38,15 +38,15 @@
 
 
 class UnsupportedQueryError(GladewalkError):
-    """A query has no handler here, or its arguments name nothing there is; the text is one line."""
+    """A query has no handler, or its arguments name something unknown; the text is one line."""
 
 
 def check_socket_path(path: Path) -> None:
-    """Checks at the start that a control socket can be bound at this path.
+    """Checks that a control socket can be bound at this path; called before a director starts.
 
     Raises:
-        ConfigError: The path is too long, its folder is missing, something else stands there, or another
-            director listens at it.
+        ConfigError: The path is too long, its folder is missing, a file that is not a socket has this path,
+            or another director listens there.
     """
     if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES:
         raise ConfigError(f"control.socket: a path of more than {MAX_SOCKET_PATH_BYTES} bytes: {path}")
@@ -63,7 +63,7 @@
 
 
 def _has_listener(path: Path) -> bool:
-    """Returns whether a process listens; a socket file without one was left behind by a killed process."""
+    """Returns whether a process listens at the socket; a killed process leaves its socket file behind."""
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(PROBE_TIMEOUT_SECONDS)
         try:
@@ -74,11 +74,11 @@
 
 
 class ControlServer:
-    """Listens at the control socket and answers queries one after another on each connection.
+    """Listens at the control socket and handles the queries of each connection one after another.
 
     Attributes:
-        path: The socket, accessible by its owner alone.
-        handlers: Handlers by the query's name; each part of a director that is on adds its own.
+        path: The socket's path; the socket is accessible only by its owner.
+        handlers: Handlers by query name; each enabled part of a director adds its own.
         connections: Open connections.
     """
 
@@ -89,9 +89,9 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Binds the socket, in place of one left behind: `check_socket_path` found no listener there."""
+        """Binds the socket; replaces a socket file without a listener, as checked by `check_socket_path`."""
         self.path.unlink(missing_ok=True)
-        previous_umask = os.umask(OWNER_ONLY_UMASK)  # no moment in which others may connect
+        previous_umask = os.umask(OWNER_ONLY_UMASK)  # the socket is created without access for other users
         try:
             self._server = await asyncio.start_unix_server(self._serve, self.path, limit=MAX_REQUEST_BYTES)
         finally:
@@ -118,13 +118,13 @@
                     writer.write(encoder.encode(self.answer(line)) + b"\n")
                     await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-            pass  # the client has closed, is idle for too long or sent too long a line
+            pass  # the client closed the connection, was idle for too long or sent a line that is too long
         finally:
             self.connections.discard(writer)
             writer.close()
 
     def answer(self, line: bytes) -> ControlResponse:
-        """Answers one line with the data of its query, or with the error that says why there is none."""
+        """Handles one line; returns the data of its query, or an error that says why there is none."""
         self.counters.add("control.asked")
         try:
             request = request_decoder.decode(line)
--- a/gladewalk/ops/__init__.py
+++ b/gladewalk/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Operational endpoints of a running director: readiness, draining and metrics."""
+"""Operators' HTTP endpoints of a running director: readiness, draining and metrics."""
--- a/gladewalk/ops/metrics.py
+++ b/gladewalk/ops/metrics.py
@@ -1,4 +1,4 @@
-"""Renders the metrics of `GET /ops/stats`, one line `svc.NAME=VALUE` each, from counters alone."""
+"""Formats the metrics of `GET /ops/stats`, one line `svc.NAME=VALUE` each, without I/O."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """Figures that hold at the moment of a call, in place of since the start.
+    """Metrics with their current value, unlike counters, which count since the start.
 
     Attributes:
-        pending_requests: Requests accepted from clients and not answered yet.
-        listed_caches: Caches on the endpoint list.
-        unavailable_caches: Those of them that are draining or that the dispatcher avoids for the moment.
+        pending_requests: Requests accepted from clients that have no final answer yet.
+        listed_servers: Servers on the endpoint list.
+        unavailable_servers: Listed servers that are draining or in backoff after failures.
     """
 
     pending_requests: int
-    listed_caches: int
-    unavailable_caches: int
+    listed_servers: int
+    unavailable_servers: int
 
 
 def format_metrics(counters: Mapping[str, int], class_names: Iterable[str], gauges: Gauges) -> bytes:
-    """Renders every outcome of every class, then the other metrics, one line each.
+    """Formats every outcome of every class, then the other metrics, one line each.
 
     Args:
-        counters: Holds `downstream_requests.CLASS.OUTCOME`, `attempts.written`, `reloads.done` and
-            `reloads.refused`; a counter that is absent reads as 0.
-        class_names: The classes in use. A class that is not but was counted is rendered as well.
-        gauges: What holds now.
+        counters: The counters `downstream_requests.CLASS.OUTCOME`, `attempts.written`, `reloads.done` and
+            `reloads.refused`; an absent counter reads as 0.
+        class_names: The configured classes. Classes that were removed are included if they were counted.
+        gauges: The current gauges.
 
     Returns:
-        The lines in ASCII; a character of a class's name outside it becomes `?`.
+        The lines in ASCII; other characters in a class's name become `?`.
     """
     lines = [
         f"svc.{name}={counters.get(name, 0)}"
@@ -43,8 +43,8 @@
     lines += [
         f"svc.upstream_requests={counters.get('attempts.written', 0)}",
         f"svc.pending={gauges.pending_requests}",
-        f"svc.members={gauges.listed_caches}",
-        f"svc.members_unavailable={gauges.unavailable_caches}",
+        f"svc.members={gauges.listed_servers}",
+        f"svc.members_unavailable={gauges.unavailable_servers}",
         f"svc.config_reloads={counters.get('reloads.done', 0)}",
         f"svc.config_reload_errors={counters.get('reloads.refused', 0)}",
     ]
@@ -52,7 +52,7 @@
 
 
 def _counted_classes(counters: Iterable[str]) -> set[str]:
-    """Returns the classes that any outcome was counted of; a class's name may contain dots."""
+    """Returns the classes that have a counted outcome; a class's name may contain dots."""
     return {
         name[len(OUTCOME_PREFIX) : name.rindex(".")] for name in counters if name.startswith(OUTCOME_PREFIX)
     }
--- a/gladewalk/ops/routes.py
+++ b/gladewalk/ops/routes.py
@@ -1,7 +1,7 @@
-"""Routes of the second address: readiness, metrics and draining, answered from the director's own state.
+"""Routes of the second address, for operators: readiness, metrics and draining.
 
-`DirectorState` and the protocols above it state all that is read of a director, so that this package depends
-on none of the parts that compose one.
+`DirectorState` and the other protocols here declare every attribute of a director that the routes use. This
+package therefore does not depend on the parts of a director.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 
 class DispatcherView(Protocol):
-    """What is read of the decision module."""
+    """The attributes of the decision module that the routes read."""
 
     @property
     def state(self) -> RoutingState:
-        """Servers and request classes, among others."""
+        """The state that has the servers and the request classes."""
 
 
 class ExchangeView(Protocol):
-    """What is read of the exchange between clients and upstream servers."""
+    """The attributes of the exchange between clients and upstream servers that the routes read."""
 
     @property
     def unanswered_count(self) -> int:
-        """Requests accepted and not answered yet."""
+        """Number of accepted requests that have no final answer yet."""
 
     @property
     def dispatcher(self) -> DispatcherView:
         """The decision module."""
 
     def clock(self) -> float:
-        """Returns the present time in Unix ms."""
+        """Returns the current time in Unix ms."""
 
 
 class EventLog(Protocol):
@@ -48,11 +48,11 @@
 
 
 class DirectorState(Protocol):
-    """What the routes read of a running director, and the readiness that they change."""
+    """The attributes of a running director that the routes use; they change only `readiness`."""
 
     @property
     def readiness(self) -> Readiness:
-        """The state that readiness is answered from."""
+        """Whether the director is ready, draining or stopping."""
 
     @property
     def exchange(self) -> ExchangeView:
@@ -60,11 +60,11 @@
 
     @property
     def counters(self) -> Counters:
-        """Counts since the start."""
+        """Counters since the director's start."""
 
     @property
     def deadlines(self) -> Deadlines:
-        """Timers of the director's loop."""
+        """Timers of the director's event loop."""
 
     @property
     def log(self) -> EventLog:
@@ -72,7 +72,7 @@
 
 
 def read_gauges(exchange: ExchangeView) -> Gauges:
-    """Returns the pending requests and the listed caches, with those that take no requests for the moment."""
+    """Returns the current numbers of pending requests, listed servers and unavailable servers."""
     now_ms = exchange.clock()
     servers = exchange.dispatcher.state.registry.servers.values()
     listed = [server for server in servers if server.info.state is not ServerState.GONE]
@@ -85,13 +85,13 @@
 
 
 class OperatorRoutes:
-    """The handlers of the second address, bound to one director."""
+    """The request handlers of the second address, bound to one director."""
 
     def __init__(self, director: DirectorState) -> None:
         self._director = director
 
     def routes(self) -> dict[str, dict[str, Handler]]:
-        """Returns the handlers by path and method."""
+        """Returns the handlers by path, then by method."""
         return {
             "/ops/readiness": {"GET": self._get_readiness},
             "/ops/stats": {"GET": self._get_stats},
@@ -121,6 +121,6 @@
 
 
 def build_admin_front(director: DirectorState) -> AdminFront:
-    """Builds the listener of the second address; it listens once its own `listen` is called."""
+    """Builds the front of the second address; its method `listen` opens the listener."""
     routes = OperatorRoutes(director).routes()
     return AdminFront(routes, director.exchange.clock, director.deadlines, director.counters)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -81,7 +81,7 @@
     counters.add("attempts.written", 9)
     counters.add("reloads.refused", 2)
     text = format_metrics(
-        counters, ["bid", "lot-page"], Gauges(pending_requests=3, listed_caches=5, unavailable_caches=1)
+        counters, ["bid", "lot-page"], Gauges(pending_requests=3, listed_servers=5, unavailable_servers=1)
     )
     lines = figures_of(text)
     assert lines["svc.downstream_requests.bid.completed"] == "7"
