--- a/gladewalk/cli/commands.py
+++ b/gladewalk/cli/commands.py
@@ -1,7 +1,8 @@
 """The root of the command line: `gladewalk`, its commands, and the process's exit code.
 
-Exit codes: 0 done, 1 done with a finding, 2 what was given cannot be used (one line says why). Of a running
-director: 3 there is none, 4 it is of another version, 5 it does not answer in time.
+Exit codes: 0 success, 1 success with a finding, 2 the arguments or files cannot be used (one line says why).
+Commands that query a running director: 3 no director is running, 4 it has another version of the protocol,
+5 it did not respond in time.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
 
 
 def main() -> int:
-    """Runs the command line on the process's arguments and returns its exit code."""
+    """Runs the command line with the process's arguments and returns the exit code."""
     try:
         result = gladewalk.main(prog_name="gladewalk", standalone_mode=False)
     except click.exceptions.Exit as done:
--- a/gladewalk/cli/common.py
+++ b/gladewalk/cli/common.py
@@ -1,4 +1,4 @@
-"""What commands share: options, exit codes, and the query of a running director."""
+"""Shared by all commands: options, exit codes, and queries of a running director."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command exits with; `control.client` adds 3 to 5 for a director that gives no answer."""
+    """Exit codes of commands; the errors of `control.client` add 3 to 5, for queries without a response."""
 
     DONE = 0
     FINDING = 1
@@ -32,16 +32,16 @@
 
 
 def config_option(command: CommandT) -> CommandT:
-    """Adds `--config`, the options file."""
+    """Adds the option `--config`, which names the options file."""
     return click.option("--config", "options_path", type=FILE, help="The options file, in TOML.")(command)
 
 
 def examples(*command_lines: str) -> Callable[[CommandT], CommandT]:
-    """Appends command lines to the help of a command; stands directly above its function."""
+    """Appends example command lines to a command's help; must be the decorator next to the function."""
     title = "Example:" if len(command_lines) == 1 else "Examples:"
 
     def append(command: CommandT) -> CommandT:
-        # \b keeps click from joining the lines of the paragraph.
+        # \b prevents click from joining the lines of the paragraph.
         paragraph = "\n".join(("\b", title, *(f"  {line}" for line in command_lines)))
         command.__doc__ = f"{inspect.cleandoc(command.__doc__ or '')}\n\n{paragraph}"
         return command
@@ -49,38 +49,38 @@
     return append
 
 
-def decode(answer: dict[str, Any], status_type: type[StatusT]) -> StatusT:
-    """Converts an answer; ends the command if another version of the director sent it."""
+def decode(data: dict[str, Any], status_type: type[StatusT]) -> StatusT:
+    """Converts the data of a response; ends the command if it is from another version of the director."""
     import msgspec
 
     from ..control.client import VersionMismatchError
 
     try:
-        return msgspec.convert(answer, status_type)
+        return msgspec.convert(data, status_type)
     except msgspec.ValidationError as error:
         mismatch = VersionMismatchError(f"the director's answer is of another version: {error}")
         fail(mismatch, mismatch.exit_code)
 
 
 def fail(error: Exception, exit_code: int = ExitCode.UNUSABLE) -> NoReturn:
-    """Prints an error as one line and ends the command."""
+    """Prints an error as one line and ends the command with an exit code."""
     click.echo(f"gladewalk: {error}", err=True)
     exit_with(exit_code)
 
 
 def exit_with(exit_code: int) -> NoReturn:
-    """Ends the command."""
+    """Ends the command with an exit code."""
     click.get_current_context().exit(exit_code)
 
 
 @dataclass(slots=True, frozen=True)
 class DirectorQuery:
-    """How a command reaches a running director, and how it shows the answer.
+    """How a command connects to a running director, and how it shows the response.
 
     Attributes:
         options_path: The director's options file, which names its control socket.
-        socket_path: The control socket, in place of the options file.
-        as_json: The answer is shown as one JSON object, not as a table.
+        socket_path: The control socket, if it is given instead of the options file.
+        as_json: Whether the response is printed as one JSON object, not as a table.
     """
 
     options_path: str | None
@@ -88,23 +88,23 @@
     as_json: bool
 
     def query(self, query: Query, **arguments: Any) -> dict[str, Any]:
-        """Returns a director's answer; ends the command with one line if there is none."""
+        """Returns the data of a director's response; if there is none, prints an error and exits."""
         from ..control.client import ControlError, query_director
 
         try:
-            answer: dict[str, Any] = query_director(self._find_socket(), query, **arguments)
+            data: dict[str, Any] = query_director(self._find_socket(), query, **arguments)
         except ConfigError as error:
             fail(error)
         except ControlError as error:
             fail(error, error.exit_code)
-        return answer
+        return data
 
-    def show(self, answer: dict[str, Any], print_text: Callable[[dict[str, Any]], None]) -> None:
-        """Prints an answer: as JSON, as it came, or by a function that prints it for people."""
+    def show(self, data: dict[str, Any], print_text: Callable[[dict[str, Any]], None]) -> None:
+        """Prints a response's data: unchanged as JSON, or with a function that formats it for people."""
         if self.as_json:
-            click.echo(json.dumps(answer))
+            click.echo(json.dumps(data))
         else:
-            print_text(answer)
+            print_text(data)
 
     def _find_socket(self) -> Path:
         from ..config.options import load_options
@@ -120,7 +120,7 @@
 
 
 def queries_director(command: Callable[..., None]) -> Callable[..., None]:
-    """Adds `--config`, `--socket` and `--json`, which reach the command as a `DirectorQuery`."""
+    """Adds `--config`, `--socket` and `--json`, and passes them to the command as a `DirectorQuery`."""
 
     @functools.wraps(command)
     def invoke(
--- a/gladewalk/cli/dns_commands.py
+++ b/gladewalk/cli/dns_commands.py
@@ -1,4 +1,4 @@
-"""Commands `dns ...`: conformance of the DNS front, and of others like it."""
+"""Commands `dns ...`: conformance tests of DNS servers, the DNS front included."""
 
 from __future__ import annotations
 
--- a/gladewalk/cli/lease_commands.py
+++ b/gladewalk/cli/lease_commands.py
@@ -1,4 +1,4 @@
-"""Commands `leases`, `hand-on` and `purge`: tasks that one director alone does at a time."""
+"""Commands `leases`, `hand-on` and `purge`: tasks that only one director performs at a time."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     director.show(director.query(Query.LEASES), _print_leases)
 
 
-def _print_leases(answer: dict[str, Any]) -> None:
+def _print_leases(data: dict[str, Any]) -> None:
     from ..leases.status import ServiceStatus
     from .terminal_output import print_leases
 
-    print_leases(decode(answer, ServiceStatus))
+    print_leases(decode(data, ServiceStatus))
 
 
 @click.command("hand-on")
@@ -41,9 +41,9 @@
 
     Exit code 2: it does not hold the lease.
     """
-    answer = director.query(Query.HAND_ON, duty=duty, to=to)
-    text = f"{duty}: given up at term {answer['term']}, to {to or 'anybody'}"
-    director.show(answer, lambda _: click.echo(text))
+    data = director.query(Query.HAND_ON, duty=duty, to=to)
+    text = f"{duty}: given up at term {data['term']}, to {to or 'anybody'}"
+    director.show(data, lambda _: click.echo(text))
 
 
 @click.command("purge")
@@ -58,23 +58,23 @@
     Exit code 1: no majority has stored it in time; it is retried, and may be lost with this director.
     """
     request_id = director.query(Query.PURGE, what=what)["id"]
-    answer, status = _await_acknowledgement(director, request_id, wait_s)
-    director.show(answer, lambda _: click.echo(_describe_purge(status)))
+    data, status = _await_acknowledgement(director, request_id, wait_s)
+    director.show(data, lambda _: click.echo(_describe_purge(status)))
     exit_with(ExitCode.DONE if status.is_acknowledged else ExitCode.FINDING)
 
 
 def _await_acknowledgement(
     director: DirectorQuery, request_id: str, timeout_seconds: float
 ) -> tuple[dict[str, Any], PurgeStatus]:
-    """Polls until the purge is acknowledged or the time is up; returns the last answer and its status."""
+    """Polls until the purge is acknowledged or a timeout; returns the last response's data and status."""
     from ..leases.status import PurgeStatus
 
-    ends = time.monotonic() + timeout_seconds
+    deadline = time.monotonic() + timeout_seconds
     while True:
-        answer = director.query(Query.PURGE_STATUS, id=request_id)
-        status = decode(answer, PurgeStatus)
-        if status.is_acknowledged or time.monotonic() > ends:
-            return answer, status
+        data = director.query(Query.PURGE_STATUS, id=request_id)
+        status = decode(data, PurgeStatus)
+        if status.is_acknowledged or time.monotonic() > deadline:
+            return data, status
         time.sleep(POLL_INTERVAL_SECONDS)
 
 
--- a/gladewalk/cli/member_commands.py
+++ b/gladewalk/cli/member_commands.py
@@ -1,4 +1,4 @@
-"""Command `members`: the group of directors as one of them sees it."""
+"""Command `members`: the group of directors as known to one of them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     director.show(director.query(Query.MEMBERS), _print_members)
 
 
-def _print_members(answer: dict[str, Any]) -> None:
+def _print_members(data: dict[str, Any]) -> None:
     from ..duties.status import MembershipStatus
     from .terminal_output import print_members
 
-    print_members(decode(answer, MembershipStatus))
+    print_members(decode(data, MembershipStatus))
--- a/gladewalk/cli/nginx_commands.py
+++ b/gladewalk/cli/nginx_commands.py
@@ -1,4 +1,4 @@
-"""Commands `import`, `route` and `rehearse`: routing tables that come from nginx's configuration."""
+"""Commands `import`, `route` and `rehearse`: routing tables translated from nginx's configuration."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
 
 
 def _print_differences(old: str, site: Site, uris: TextIO) -> None:
-    """Prints the requests that another table would route elsewhere; exits with 1 if there are any."""
+    """Prints the requests that the new table routes differently; ends the command, with 1 if any exist."""
     from ..nginx.explain import load_site_or_import, moved_requests, parse_requests
     from ..nginx.router import Router
 
     moved = moved_requests(Router(load_site_or_import(old)), Router(site), parse_requests(uris))
-    for each in moved:
-        click.echo(f"{each.request}: {each.previous} -> {each.current}")
+    for change in moved:
+        click.echo(f"{change.request}: {change.previous} -> {change.current}")
     exit_with(ExitCode.FINDING if moved else ExitCode.DONE)
 
 
@@ -94,14 +94,14 @@
     from ..rehearsal.site_check import check_site
 
     try:
-        lines, good = check_site(load_site_or_import(file), [RequestDescription(uri, host) for uri in uris])
+        lines, passed = check_site(load_site_or_import(file), [RequestDescription(uri, host) for uri in uris])
     except ConfigError as error:
         _fail_with(error)
     click.echo("\n".join(lines))
-    exit_with(ExitCode.DONE if good else ExitCode.FINDING)
+    exit_with(ExitCode.DONE if passed else ExitCode.FINDING)
 
 
 def _fail_with(error: Exception) -> NoReturn:
-    """Prints an error that begins with its own file and line, and ends the command."""
+    """Prints an error whose text begins with its file and line, and ends the command."""
     click.echo(str(error), err=True)
     exit_with(ExitCode.UNUSABLE)
--- a/gladewalk/cli/rehearsal_commands.py
+++ b/gladewalk/cli/rehearsal_commands.py
@@ -1,4 +1,4 @@
-"""Commands `play` and `hunt`: scenarios played to the director in virtual time."""
+"""Commands `play` and `hunt`: run scenarios against the real director in virtual time."""
 
 from __future__ import annotations
 
--- a/gladewalk/cli/run_commands.py
+++ b/gladewalk/cli/run_commands.py
@@ -1,4 +1,4 @@
-"""Commands `run` and `check`: start a director, or only read its configuration."""
+"""Commands `run` and `check`: start a director, or only check its configuration."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run_director(options_path: str | None, dns_path: str | None) -> None:
-    """Runs a director in this process and exits with its code."""
+    """Runs a director in this process and ends the command with its exit code."""
     from ..core.memory_tuning import without_tables
 
     without_tables()
@@ -47,7 +47,7 @@
 
 
 def _summarize(options_path: str | None, dns_path: str | None) -> dict[str, Any]:
-    """Loads and checks the configuration; `ConfigError` if it cannot be used."""
+    """Loads and checks the configuration and returns a summary; raises `ConfigError` if it cannot be used."""
     from ..daemon import load_configuration
 
     loaded = load_configuration(options_path, dns_path)
--- a/gladewalk/cli/store_commands.py
+++ b/gladewalk/cli/store_commands.py
@@ -1,4 +1,4 @@
-"""Commands `store ...`: the store of a running director, and maintenance of one that is not open."""
+"""Commands `store ...`: status of a running director's store, and maintenance of a store that is not open."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 @queries_director
 def store_status(director: DirectorQuery) -> None:
     """Show the store of a running director. Exit code 1: its disk rejects writes."""
-    answer = director.query(Query.STORE)
-    director.show(answer, _print_store)
-    exit_with(ExitCode.FINDING if answer["refused_by_disk"] else ExitCode.DONE)
+    data = director.query(Query.STORE)
+    director.show(data, _print_store)
+    exit_with(ExitCode.FINDING if data["refused_by_disk"] else ExitCode.DONE)
 
 
-def _print_store(answer: dict[str, Any]) -> None:
+def _print_store(data: dict[str, Any]) -> None:
     from ..store.status import StoreStatus
     from .terminal_output import print_store
 
-    print_store(decode(answer, StoreStatus))
+    print_store(decode(data, StoreStatus))
 
 
 @store_group.command("check")
@@ -78,7 +78,7 @@
 
 
 def _maintain(operation: Callable[[], int]) -> None:
-    """Exits with an operation's code; what a store does not allow is one line and exit code 2."""
+    """Ends the command with an operation's exit code; a store's error is one line and exit code 2."""
     from ..store.errors import StoreFileError
 
     try:
--- a/gladewalk/cli/terminal_output.py
+++ b/gladewalk/cli/terminal_output.py
@@ -1,4 +1,4 @@
-"""Prints answers for people, as tables by rich; not imported by a running director."""
+"""Prints the output of commands as tables, with rich; never imported by a running director."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def format_duration(duration_ms: float) -> str:
-    """Renders a time span in ms, s or min, whichever is short."""
+    """Formats a duration in ms, s or min, depending on its length."""
     if duration_ms < MAX_MS_SHOWN:
         return f"{max(0.0, duration_ms):.0f} ms"
     seconds = duration_ms / 1_000.0
@@ -37,15 +37,15 @@
 
 
 def print_members(status: MembershipStatus) -> None:
-    """Prints the members, the tasks, and what is wrong with the director's own membership."""
+    """Prints the members, the tasks, and any fault of the director's own membership."""
     console = Console(highlight=False)
     console.print(_build_members_table(status))
     tasks = ", ".join(f"{count} {kind}" for kind, count in status.task_counts.items()) or "none"
     owned, stretch = len(status.owned_tasks), status.interval_stretch
     console.print(f"duties: {tasks}; held here: {owned}; intervals stretched {stretch:g} times")
     if status.health_score:
-        times = status.health_score + 1
-        console.print(f"it misses answers and doubts itself: its times are {times}-fold", style="yellow")
+        factor = status.health_score + 1
+        console.print(f"it misses answers and doubts itself: its times are {factor}-fold", style="yellow")
     if not status.is_active:
         text = "another director runs under this name: this one takes no part"
         console.print(text, style="bold red")
@@ -73,7 +73,7 @@
 
 
 def print_leases(status: ServiceStatus) -> None:
-    """Prints each lease with its token and the director's promise, and the operations that are open."""
+    """Prints each lease with its token and the director's promise, and the numbers of open tasks."""
     console = Console(highlight=False)
     console.print(_build_leases_table(status))
     tasks = status.tasks
@@ -110,7 +110,7 @@
 
 
 def print_store(status: StoreStatus) -> None:
-    """Prints the store's figures, and whether the disk takes no writes."""
+    """Prints the store's metrics, and a warning if the disk rejects writes."""
     console = Console(highlight=False)
     table = Table(title="store", title_justify="left", show_header=False)
     table.add_column("what")
@@ -134,7 +134,7 @@
 
 
 def print_verdict(report: dict[str, Any]) -> None:
-    """Prints the outcomes of a scenario by class, and the rules that it broke."""
+    """Prints the outcomes of a scenario by class, and the rules that were violated."""
     console = Console(highlight=False)
     title = f"{report['virtual_s']:.0f} s in {report['wall_s']:g} s"
     table = Table(title=title, title_justify="left")
--- a/gladewalk/control/server.py
+++ b/gladewalk/control/server.py
@@ -115,7 +115,7 @@
             while True:
                 async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     line = await reader.readuntil(b"\n")
-                    writer.write(encoder.encode(self.answer(line)) + b"\n")
+                    writer.write(encoder.encode(self.handle_line(line)) + b"\n")
                     await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             pass  # the client closed the connection, was idle for too long or sent a line that is too long
@@ -123,7 +123,7 @@
             self.connections.discard(writer)
             writer.close()
 
-    def answer(self, line: bytes) -> ControlResponse:
+    def handle_line(self, line: bytes) -> ControlResponse:
         """Handles one line; returns the data of its query, or an error that says why there is none."""
         self.counters.add("control.asked")
         try:
