--- a/gladewalk/config/toml_file.py
+++ b/gladewalk/config/toml_file.py
@@ -73,12 +73,12 @@
 def describe_error(error: msgspec.ValidationError) -> str:
     """Formats a validation error as `table.key: why`."""
     text, table_path = str(error), ""
-    if match := LOCATION_PATTERN.search(text):
-        text, table_path = text[: match.start()], match[1].replace("[...]", "")
-    if match := UNKNOWN_FIELD_PATTERN.match(text):
-        return f"{_join_keys(table_path, match[1])}: no such setting"
-    if match := MISSING_FIELD_PATTERN.match(text):
-        return f"{_join_keys(table_path, match[1])}: is missing"
+    if matched := LOCATION_PATTERN.search(text):
+        text, table_path = text[: matched.start()], matched[1].replace("[...]", "")
+    if matched := UNKNOWN_FIELD_PATTERN.match(text):
+        return f"{_join_keys(table_path, matched[1])}: no such setting"
+    if matched := MISSING_FIELD_PATTERN.match(text):
+        return f"{_join_keys(table_path, matched[1])}: is missing"
     return f"{table_path or 'the file'}: {text[:1].lower()}{text[1:]}"
 
 
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""What holds of the files: the module's limits and the README's example."""
+"""Checks of source files: the decision module's size limits, the README's example, and imports at start."""
 
 import contextlib
 import io
@@ -12,34 +12,34 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_module_keeps_its_line_limits() -> None:
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    there = (ROOT / "gladewalk" / "policy").glob("*.py")
-    assert sorted(named) == sorted(f"gladewalk/policy/{path.name}" for path in there)
-    files = [(ROOT / name).read_text().splitlines() for name in named]
+def test_decision_module_is_within_its_line_limits() -> None:
+    listed_names = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    paths = (ROOT / "gladewalk" / "policy").glob("*.py")
+    assert sorted(listed_names) == sorted(f"gladewalk/policy/{path.name}" for path in paths)
+    files = [(ROOT / name).read_text().splitlines() for name in listed_names]
     assert sum(bool(line.strip()) for lines in files for line in lines) <= 740
     assert max(map(len, files)) <= 400
     assert max(len(line) for lines in files for line in lines) <= 110
 
 
-def test_the_readme_example_runs_as_written() -> None:
+def test_readme_example_prints_the_documented_output() -> None:
     (code,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
-    out = io.StringIO()
-    with contextlib.redirect_stdout(out):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         exec(code, {})
-    assert out.getvalue() == "cache-1:80\ncache-1:80 parent-1:80\n"
+    assert output.getvalue() == "cache-1:80\ncache-1:80 parent-1:80\n"
 
 
-def test_a_director_on_the_platform_imports_nothing_that_is_off() -> None:
+def test_director_without_options_imports_no_optional_part() -> None:
     environ = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
-    words = [sys.executable, "-X", "importtime", "-m", "gladewalk"]
-    done = subprocess.run(
-        words, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60, check=False
+    command = [sys.executable, "-X", "importtime", "-m", "gladewalk"]
+    result = subprocess.run(
+        command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60, check=False
     )
-    assert done.returncode == 2 and done.stderr.rstrip().endswith("gladewalk: NODE_CONFIG is not set")
-    loaded = {line.rpartition("|")[2].strip() for line in done.stderr.splitlines() if "|" in line}
+    assert result.returncode == 2 and result.stderr.rstrip().endswith("gladewalk: NODE_CONFIG is not set")
+    loaded = {line.rpartition("|")[2].strip() for line in result.stderr.splitlines() if "|" in line}
     assert "gladewalk.director" in loaded
-    ours = (
+    optional_modules = (
         "members",
         "duties",
         "leases",
@@ -59,6 +59,16 @@
         "registry.dns_leases",
         "cli",
     )
-    off = {f"gladewalk.{name}" for name in ours}
-    off |= {"rich.console", "click", "msgspec", "pcre2", "crc32c", "xxhash", "crossplane", "h2", "tomli_w"}
-    assert not {name for name in loaded if name in off}
+    optional = {f"gladewalk.{name}" for name in optional_modules}
+    optional |= {
+        "rich.console",
+        "click",
+        "msgspec",
+        "pcre2",
+        "crc32c",
+        "xxhash",
+        "crossplane",
+        "h2",
+        "tomli_w",
+    }
+    assert not {name for name in loaded if name in optional}
