--- a/tests/golden_control_data.py
+++ b/tests/golden_control_data.py
@@ -1,4 +1,4 @@
-"""Files, answers and stand-ins that the golden tests of control and configuration use."""
+"""Data and helpers of the golden tests of the control socket, the configuration and the command line."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 ROOT = Path(__file__).parent.parent
 GOLDEN = Path(__file__).parent / "golden" / "control.json"
-PLATFORM: dict[str, Any] = {
+PLATFORM_CONFIG: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "seed": "1f",
@@ -97,7 +97,7 @@
         "root_fall_ms": 35.0,
     },
 }
-BAD_SETTINGS: list[Any] = [
+INVALID_SETTINGS: list[Any] = [
     {},
     {"classes": 1},
     {"classes": [1]},
@@ -112,31 +112,35 @@
     {**SETTINGS, "limits": {"most_tries": -1}},
     {**SETTINGS, "limits": {"most_tries": True}},
 ]
-BAD_PLATFORM: list[Any] = [
+INVALID_PLATFORM: list[Any] = [
     None,
     [],
     {},
-    {**PLATFORM, "settings": None},
-    {**PLATFORM, "listen": "nowhere"},
-    {**PLATFORM, "listen": "127.0.0.1:99999"},
-    {**PLATFORM, "listen": "a..b:80"},
-    {**PLATFORM, "coordinator": None},
-    {**PLATFORM, "coordinator": "a\0b:80"},
-    {**PLATFORM, "seed": "xyz"},
-    {**PLATFORM, "known": {"updates": 1}},
-    {**PLATFORM, "known": {"updates": [1]}},
-    {**PLATFORM, "limits": {"sockets": "many"}},
-    {**PLATFORM, "admin_addr": "there"},
-    *({**PLATFORM, "settings": bad} for bad in BAD_SETTINGS),
+    {**PLATFORM_CONFIG, "settings": None},
+    {**PLATFORM_CONFIG, "listen": "nowhere"},
+    {**PLATFORM_CONFIG, "listen": "127.0.0.1:99999"},
+    {**PLATFORM_CONFIG, "listen": "a..b:80"},
+    {**PLATFORM_CONFIG, "coordinator": None},
+    {**PLATFORM_CONFIG, "coordinator": "a\0b:80"},
+    {**PLATFORM_CONFIG, "seed": "xyz"},
+    {**PLATFORM_CONFIG, "known": {"updates": 1}},
+    {**PLATFORM_CONFIG, "known": {"updates": [1]}},
+    {**PLATFORM_CONFIG, "limits": {"sockets": "many"}},
+    {**PLATFORM_CONFIG, "admin_addr": "there"},
+    *({**PLATFORM_CONFIG, "settings": invalid} for invalid in INVALID_SETTINGS),
 ]
-# What is said of these came from Python itself and named types within: one line and exit code 2 count.
-BAD_PLATFORM_TYPES: list[Any] = [
-    {**PLATFORM, "known": []},
-    {**PLATFORM, "settings": {**SETTINGS, "limits": 3}},
-    {**PLATFORM, "settings": {**SETTINGS, "zones": 3}},
-    {**PLATFORM, "settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "key_scope": "world"}]}},
+# Python itself raises the errors of these, with texts that name internal types and may change. The golden file
+# therefore has only the exit code, the start of the text and its number of lines.
+INVALID_PLATFORM_TYPES: list[Any] = [
+    {**PLATFORM_CONFIG, "known": []},
+    {**PLATFORM_CONFIG, "settings": {**SETTINGS, "limits": 3}},
+    {**PLATFORM_CONFIG, "settings": {**SETTINGS, "zones": 3}},
+    {
+        **PLATFORM_CONFIG,
+        "settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "key_scope": "world"}]},
+    },
 ]
-BAD_OPTIONS = [
+INVALID_OPTIONS = [
     "[http2",
     "a = 1",
     "http2 = 1",
@@ -191,13 +195,13 @@
     "[front.http]\nsite = 'none.toml'\nlisten = {}",
     "[front.http]\nsite = 'site.toml'\nlisten = {'127.0.0.1:0' = '*:80'}",
 ]
-BAD_DNS = [
+INVALID_DNS = [
     "zone",
     "listen = 'x'",
     "listen = 'x'\nzone = 'z.'",
     "listen = '127.0.0.1:0'\nzone = 'z.'\nmode = 1",
 ]
-BAD_SCENARIOS = [
+INVALID_SCENARIOS = [
     "seconds",
     "second = 1.0",
     "seconds = -1.0",
@@ -216,26 +220,26 @@
 ]  # fmt: skip
 
 
-def flat(value: Any) -> Any:
-    """A value without the names of its fields and types: what stays when they are renamed."""
+def without_names(value: Any) -> Any:
+    """Returns a value without the names of its fields and types, so that these can be renamed."""
     if isinstance(value, Enum):
         return f"member {list(type(value)).index(value)}"
     if dataclasses.is_dataclass(value):
-        return [flat(getattr(value, field.name)) for field in dataclasses.fields(value)]
+        return [without_names(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, dict):
-        return [[flat(key), flat(item)] for key, item in value.items()]
-    return [flat(item) for item in value] if isinstance(value, (tuple, list)) else value
+        return [[without_names(key), without_names(item)] for key, item in value.items()]
+    return [without_names(item) for item in value] if isinstance(value, (tuple, list)) else value
 
 
-def types(value: Any) -> Any:
-    """The keys of an answer in their order, with the type of each figure in its place."""
+def with_type_names(value: Any) -> Any:
+    """Returns a response with each value replaced by the name of its type; keys keep their order."""
     if isinstance(value, dict):
-        return {key: "figures" if key == "counters" else types(item) for key, item in value.items()}
-    return [types(item) for item in value] if isinstance(value, list) else type(value).__name__
+        return {key: "figures" if key == "counters" else with_type_names(item) for key, item in value.items()}
+    return [with_type_names(item) for item in value] if isinstance(value, list) else type(value).__name__
 
 
-class Folder:
-    """A folder with the files that the cases name, and the command line run within it."""
+class CommandFolder:
+    """A folder with the files that the test cases name; runs the command line within the folder."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -250,33 +254,36 @@
             (path / name).write_text(text)
         (path / "binary.keys").write_bytes(b"\xff\xfe")
         (path / "site.toml").write_text("version = 1")
-        for keys in path.glob("*.keys"):
-            keys.chmod(0o644 if keys.name == "open.keys" else 0o600)
-        self.platform(PLATFORM)
+        for key_file in path.glob("*.keys"):
+            key_file.chmod(0o644 if key_file.name == "open.keys" else 0o600)
+        self.write_platform_config(PLATFORM_CONFIG)
 
-    def platform(self, config: Any) -> None:
+    def write_platform_config(self, config: Any) -> None:
         (self.path / "node.json").write_text(config if isinstance(config, str) else json.dumps(config))
 
     def write(self, name: str, text: str) -> str:
         (self.path / name).write_text(text)
         return str(self.path / name)
 
-    def run(self, *words: str) -> list[Any]:
-        """Exit code, standard output and standard error, with the folder's own path taken out."""
+    def run(self, *arguments: str) -> list[Any]:
+        """Returns exit code, standard output and standard error, with the folder's path replaced by `DIR`."""
         env = {"NODE_CONFIG": str(self.path / "node.json"), "COLUMNS": "110"}
-        logging = structlog.get_config()
+        log_config = structlog.get_config()
         try:
             with chdir(self.path):
-                done = CliRunner(env=env).invoke(gladewalk, list(words))
+                result = CliRunner(env=env).invoke(gladewalk, list(arguments))
         finally:
-            structlog.configure(**logging)  # `play` silences the log of its process
-        return [done.exit_code, *(text.replace(str(self.path), "DIR") for text in (done.stdout, done.stderr))]
+            structlog.configure(**log_config)  # `play` disables the log of its process
+        return [
+            result.exit_code,
+            *(text.replace(str(self.path), "DIR") for text in (result.stdout, result.stderr)),
+        ]
 
 
 @contextmanager
-def answering(path: Path, answer: str) -> Iterator[list[bytes]]:
-    """A control socket that gives every question the same answer; the questions, as they came."""
-    questions: list[bytes] = []
+def respond_to_requests(path: Path, response: str) -> Iterator[list[bytes]]:
+    """Opens a control socket that responds to every request alike; yields the list of received requests."""
+    requests: list[bytes] = []
 
     def serve() -> None:
         while True:
@@ -286,10 +293,10 @@
                 return
             with connection:
                 line = b""
-                while not line.endswith(b"\n") and (part := connection.recv(65_536)):
-                    line += part
-                questions.append(line)
-                connection.sendall(answer.encode())
+                while not line.endswith(b"\n") and (chunk := connection.recv(65_536)):
+                    line += chunk
+                requests.append(line)
+                connection.sendall(response.encode())
 
     with socket.socket(socket.AF_UNIX) as server:
         server.bind(os.fspath(path))
@@ -297,14 +304,14 @@
         thread = threading.Thread(target=serve)
         thread.start()
         try:
-            yield questions
+            yield requests
         finally:
             server.shutdown(socket.SHUT_RDWR)
             thread.join()
             path.unlink()
 
 
-def member(name: str, **more: Any) -> dict[str, Any]:
+def build_member(name: str, **more: Any) -> dict[str, Any]:
     return {
         "name": name, "address": "10.0.0.1:7400", "state": "alive", "incarnation": 3, "run": 17,
         "weight": 1.5, "heard_ms": 12_345.6, "duties": 4, "health": 0, "stalled": False, "knocked": None,
@@ -318,11 +325,11 @@
     "health": 0,
     "stretch": 1.25,
     "members": [
-        member("n1", state="self", heard_ms=0.0, health=2),
-        member("n2", stalled=True),
-        member("n3", state="suspect", heard_ms=200_000.0),
-        member("n4", state="dead", heard_ms=999.0, incarnation=7),
-        member("n5", state="left"),
+        build_member("n1", state="self", heard_ms=0.0, health=2),
+        build_member("n2", stalled=True),
+        build_member("n3", state="suspect", heard_ms=200_000.0),
+        build_member("n4", state="dead", heard_ms=999.0, incarnation=7),
+        build_member("n5", state="left"),
     ],
     "owned": [{"duty": "load/c0", "epoch": 2, "due_ms": 3.5}],
     "duties": {"load": 3, "alive": 2},
@@ -345,8 +352,8 @@
     "policy": "group", "feed": 0, "durable": 10, "sequence": 12, "keys": 9, "bytes": 4_096, "segments": 2,
     "compactions": 1, "refused_by_disk": False, "purges": ["a1"],
 }  # fmt: skip
-ORDER = {"id": "n1/1/1", "acknowledged": True, "state": "open", "keepers": ["n1", "n2"], "token": 0}
-ANSWERS: list[tuple[list[str], Any]] = [
+PURGE_STATUS = {"id": "n1/1/1", "acknowledged": True, "state": "open", "keepers": ["n1", "n2"], "token": 0}
+RESPONSES: list[tuple[list[str], Any]] = [
     (["members"], MEMBERS),
     (["members"], {**MEMBERS, "active": False, "health": 3, "duties": {}, "owned": []}),
     (["members", "--json"], MEMBERS),
@@ -355,15 +362,15 @@
     (["hand-on", "purge", "--to", "n2"], {"duty": "purge", "term": 5, "to": "n2"}),
     (["hand-on", "purge"], {"duty": "purge", "term": 5, "to": ""}),
     (["hand-on", "purge", "--json"], {"duty": "purge", "term": 5, "to": ""}),
-    (["purge", "o:a1"], ORDER),
-    (["purge", "o:a1", "--json"], ORDER),
-    (["purge", "o:a1"], {**ORDER, "state": "finished", "token": 5}),
-    (["purge", "o:a1", "--wait-s", "0.01"], {**ORDER, "acknowledged": False, "keepers": []}),
+    (["purge", "o:a1"], PURGE_STATUS),
+    (["purge", "o:a1", "--json"], PURGE_STATUS),
+    (["purge", "o:a1"], {**PURGE_STATUS, "state": "finished", "token": 5}),
+    (["purge", "o:a1", "--wait-s", "0.01"], {**PURGE_STATUS, "acknowledged": False, "keepers": []}),
     (["store", "status"], STORE),
     (["store", "status"], {**STORE, "feed": 7, "refused_by_disk": True}),
     (["store", "status", "--json"], STORE),
 ]
-NO_ANSWERS = [
+INVALID_RESPONSES = [
     "220 hello\n", '{"v":7,"data":1}\n', '{"v":1,"error":"no view"}\n', '{"v":1}\n', '{"data":1}\n', "",
     '{"v":1,"error":7}\n', "[]\n",
 ]  # fmt: skip
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -1,8 +1,8 @@
-"""Golden bytes of the configuration, the control socket, the second address and the command line.
+"""Golden tests of the configuration, the control socket, the second address and the command line.
 
-`tests/golden/control.json` was captured from the program at 090a370. What an operator, a script or an older
-process reads must stay equal byte for byte; `python -m tests.test_golden_control` captures it anew, which a
-change of format needs and nothing else does.
+`tests/golden/control.json` was captured from the program at 090a370. Output that operators, scripts or older
+versions of the program read must stay equal byte for byte. `python -m tests.test_golden_control` captures the
+file again, which only a deliberate change of a format justifies.
 """
 
 from __future__ import annotations
@@ -26,62 +26,62 @@
 from gladewalk.config.platform import read_config
 
 from .golden_control_data import (
-    ANSWERS,
-    BAD_DNS,
-    BAD_OPTIONS,
-    BAD_PLATFORM,
-    BAD_PLATFORM_TYPES,
-    BAD_SCENARIOS,
     COMMANDS,
     FULL_SETTINGS,
     GOLDEN,
-    NO_ANSWERS,
-    PLATFORM,
+    INVALID_DNS,
+    INVALID_OPTIONS,
+    INVALID_PLATFORM,
+    INVALID_PLATFORM_TYPES,
+    INVALID_RESPONSES,
+    INVALID_SCENARIOS,
+    PLATFORM_CONFIG,
+    RESPONSES,
     ROOT,
-    Folder,
-    answering,
-    flat,
-    types,
+    CommandFolder,
+    respond_to_requests,
+    with_type_names,
+    without_names,
 )
 
 
-def capture_commands(folder: Folder) -> Any:
-    """The questions that commands put on the control socket, and what they print of an answer."""
+def capture_commands(folder: CommandFolder) -> Any:
+    """Captures the requests that commands send to the control socket, and their output for each response."""
     path = folder.path / "c.sock"
-    own = folder.write("own.toml", "[control]\nsocket = 'c.sock'\n")
+    options_path = folder.write("own.toml", "[control]\nsocket = 'c.sock'\n")
     found: list[dict[str, Any]] = []
-    for words, answer in ANSWERS:
-        line = json.dumps({"v": 1, "data": answer}, separators=(",", ":")) + "\n"
-        with answering(path, line) as questions:
-            done = folder.run(*words, "--config", own)
-        distinct = list(dict.fromkeys(question.decode() for question in questions))
-        found.append({"words": words, "asked": distinct, "done": done})
-    for text in NO_ANSWERS:
-        with answering(path, text):
+    for arguments, data in RESPONSES:
+        line = json.dumps({"v": 1, "data": data}, separators=(",", ":")) + "\n"
+        with respond_to_requests(path, line) as requests:
+            result = folder.run(*arguments, "--config", options_path)
+        distinct = list(dict.fromkeys(request.decode() for request in requests))
+        found.append({"words": arguments, "asked": distinct, "done": result})
+    for text in INVALID_RESPONSES:
+        with respond_to_requests(path, text):
             found.append({"answer": text, "done": folder.run("members", "--socket", str(path))})
-    found.append({"nobody": folder.run("members", "--config", own)})
+    found.append({"nobody": folder.run("members", "--config", options_path)})
     found.append({"neither": folder.run("members")})
     found.append({"off": folder.run("members", "--config", folder.write("off.toml", ""))})
     found.append({"none": folder.run("members", "--config", str(folder.path / "none.toml"))})
     return found
 
 
-def capture_bad_files(folder: Folder) -> Any:
-    """What is said of a file that cannot be used, and the exit code."""
+def capture_invalid_files(folder: CommandFolder) -> Any:
+    """Captures the error and the exit code for each kind of file that cannot be used."""
     found: dict[str, list[Any]] = {"platform": [], "options": [], "dns": [], "scenario": []}
-    for config in [*BAD_PLATFORM, "{", "\x00", "NaN"]:
-        folder.platform(config)
+    for config in [*INVALID_PLATFORM, "{", "\x00", "NaN"]:
+        folder.write_platform_config(config)
         found["platform"].append(folder.run("check"))
-    for config in BAD_PLATFORM_TYPES:
-        folder.platform(config)
-        code, said, why = folder.run("check")
-        found["platform"].append([code, said, why[:26], why.count("\n")])
-    folder.platform(PLATFORM)
-    for text in BAD_OPTIONS:
+    for config in INVALID_PLATFORM_TYPES:
+        folder.write_platform_config(config)
+        exit_code, output, error_text = folder.run("check")
+        found["platform"].append([exit_code, output, error_text[:26], error_text.count("\n")])
+    folder.write_platform_config(PLATFORM_CONFIG)
+    for text in INVALID_OPTIONS:
         found["options"].append([text, *folder.run("check", "--config", folder.write("own.toml", text))])
-    for text in BAD_DNS:
+    for text in INVALID_DNS:
         found["dns"].append([text, *folder.run("check", "--dns", folder.write("dns.toml", text))])
-    for text in BAD_SCENARIOS:
+    for text in INVALID_SCENARIOS:
         found["scenario"].append([text, *folder.run("play", folder.write("day.toml", text))])
     found["options"].append(folder.run("check", "--config", str(folder.path / "none.toml")))
     found["dns"].append(folder.run("check", "--dns", str(folder.path / "none.toml")))
@@ -89,51 +89,51 @@
     return found
 
 
-def capture_printed(folder: Folder) -> Any:
-    """What commands print that need no running director."""
-    folder.platform({**PLATFORM, "known": {"index": 4, "updates": []}})
+def capture_printed(folder: CommandFolder) -> Any:
+    """Captures the output of commands that need no running director."""
+    folder.write_platform_config({**PLATFORM_CONFIG, "known": {"index": 4, "updates": []}})
     (folder.path / "store").mkdir(exist_ok=True)
-    own = folder.write(
+    options_path = folder.write(
         "own.toml",
         "[http2]\nmode = 'h2c'\n[dns]\nlisten = '127.0.0.1:0'\nzone = 'z.'\n[control]\nsocket = 'c.sock'\n"
         "[store]\nfolder = 'kept'\n[members]\nlisten = '127.0.0.1:0'\nkeys = 'good.keys'\n",
     )
-    nginx = "nginx.conf"  # a relative path: lines of the table are broken by their length
+    nginx_path = "nginx.conf"  # relative, as the length of a path affects the line breaks of the output
     folder.write(
-        nginx,
+        nginx_path,
         "events {}\nhttp { upstream u { server 10.0.0.1:80; } server { listen 80; server_name a.example;\n"
         "location / { proxy_pass http://u; } location /x { return 404; } } }\n",
     )
-    play = folder.write("day.toml", "seconds = 2.0\n[traffic]\nper_s = 2.0\n")
-    played = folder.run("play", play, "--json", "--seed", "3")
+    scenario_path = folder.write("day.toml", "seconds = 2.0\n[traffic]\nper_s = 2.0\n")
+    play_result = folder.run("play", scenario_path, "--json", "--seed", "3")
     return {
         "check": folder.run("check"),
         "check --json": folder.run("check", "--json"),
-        "check --json --config": folder.run("check", "--json", "--config", own),
-        "import": folder.run("import", nginx),
-        "route": folder.run("route", nginx, "/x", "--host", "a.example"),
-        "route bad": folder.run("route", nginx, "/x", "--from", "nowhere"),
-        "import --diff": folder.run("import", nginx, "--diff", nginx),
+        "check --json --config": folder.run("check", "--json", "--config", options_path),
+        "import": folder.run("import", nginx_path),
+        "route": folder.run("route", nginx_path, "/x", "--host", "a.example"),
+        "route bad": folder.run("route", nginx_path, "/x", "--from", "nowhere"),
+        "import --diff": folder.run("import", nginx_path, "--diff", nginx_path),
         "import none": folder.run("import", "none.conf"),
         "rehearse none": folder.run("rehearse", "none.conf", "/"),
-        "play --json": [played[0], types(json.loads(played[1])), played[2]],
+        "play --json": [play_result[0], with_type_names(json.loads(play_result[1])), play_result[2]],
         "store check": folder.run("store", "check", str(folder.path / "store")),
         "store dump none": folder.run("store", "dump", str(folder.path / "none")),
         "dns conform --list": folder.run("dns", "conform", "x", "z.", "--class", "c", "--list"),
         "dns conform bad": folder.run("dns", "conform", "x", "z.", "--class", "c"),
-        "options before a command": folder.run("--config", own, "check"),
+        "options before a command": folder.run("--config", options_path, "check"),
         "unknown": folder.run("frobnicate"),
         "--version": folder.run("--version")[0],
     }
 
 
-def capture_help(folder: Folder) -> Any:
-    """The commands' names, their arguments and options with defaults, and that each has help."""
+def capture_help(folder: CommandFolder) -> Any:
+    """Captures each command's arguments, options and defaults, and that the command has help."""
     found = {}
-    for words in ["", *COMMANDS]:
+    for command_name in ["", *COMMANDS]:
         command: Any = gladewalk
-        for word in words.split():
-            command = command.commands[word]
+        for subcommand in command_name.split():
+            command = command.commands[subcommand]
         parameters = [
             {
                 "kind": parameter.param_type_name,
@@ -144,25 +144,25 @@
             }
             for parameter in command.params
         ]
-        code, text, _ = folder.run(*words.split(), "--help")
-        named = [line.split()[0] for line in text.split("Commands:")[-1].splitlines() if line.strip()]
-        commands = named if "Commands:" in text else []
-        found[words] = {"code": code, "parameters": parameters, "commands": commands}
+        exit_code, text, _ = folder.run(*command_name.split(), "--help")
+        last_section = [line.split()[0] for line in text.split("Commands:")[-1].splitlines() if line.strip()]
+        listed_commands = last_section if "Commands:" in text else []
+        found[command_name] = {"code": exit_code, "parameters": parameters, "commands": listed_commands}
     return found
 
 
-def capture_settings(folder: Folder) -> Any:
-    """The platform's file as it is taken, without the names that it has within."""
-    texts = [
-        PLATFORM,
-        {**PLATFORM, "settings": FULL_SETTINGS, "admin_addr": "[::1]:7", "known": {"index": 2}},
+def capture_settings(folder: CommandFolder) -> Any:
+    """Captures the values of converted platform settings, without the names of fields and types."""
+    configs = [
+        PLATFORM_CONFIG,
+        {**PLATFORM_CONFIG, "settings": FULL_SETTINGS, "admin_addr": "[::1]:7", "known": {"index": 2}},
     ]
     environ = {"NODE_NAME": "n7", "NODE_LISTEN": "h:1", "NODE_ADMIN_ADDR": "h:2", "NODE_FD": "3"}
     return {
-        "plain": [flat(read_config(text, {})) for text in texts],
-        "environ": flat(read_config({**PLATFORM, "name": 5, "listen": 5}, environ)),
-        "settings": flat(policy_settings.read_settings(FULL_SETTINGS)),
-        "roles": flat(policy_settings.read_roles(FULL_SETTINGS)),
+        "plain": [without_names(read_config(raw_config, {})) for raw_config in configs],
+        "environ": without_names(read_config({**PLATFORM_CONFIG, "name": 5, "listen": 5}, environ)),
+        "settings": without_names(policy_settings.read_settings(FULL_SETTINGS)),
+        "roles": without_names(policy_settings.read_roles(FULL_SETTINGS)),
         "load": policy_settings.read_load_report(
             {"outstanding": 1, "backlog": 2, "utilization": 3, "other": 4, "x0": 5}
         ),
@@ -170,8 +170,8 @@
     }
 
 
-def capture_options(folder: Folder) -> Any:
-    """Our own file's keys with their defaults, as they are written."""
+def capture_options(folder: CommandFolder) -> Any:
+    """Captures the keys of the options file, with their defaults."""
     required = {
         "dns": {"listen": "127.0.0.1:0", "zone": "z."},
         "members": {"listen": "127.0.0.1:0", "keys": "k"},
@@ -189,22 +189,22 @@
         return int(probe.getsockname()[1])
 
 
-def exchange(address: Any, sent: bytes) -> str:
-    """All that an address answers to these bytes, to its end."""
+def exchange(address: Any, payload: bytes) -> str:
+    """Sends bytes to an address; returns all that it sends back until it closes the connection."""
     family = socket.AF_UNIX if isinstance(address, str) else socket.AF_INET
     with socket.socket(family) as connection:
         connection.settimeout(20.0)
         connection.connect(address if isinstance(address, str) else tuple(address))
-        connection.sendall(sent)
+        connection.sendall(payload)
         if isinstance(address, str):
             connection.shutdown(socket.SHUT_WR)
-        parts = []
-        while part := connection.recv(65_536):
-            parts.append(part)
-    return b"".join(parts).decode()
+        chunks = []
+        while chunk := connection.recv(65_536):
+            chunks.append(chunk)
+    return b"".join(chunks).decode()
 
 
-QUESTIONS = [
+CONTROL_LINES = [
     b"noise\n", b"[]\n", b"{}\n", b'{"v":1}\n', b'{"v":1,"ask":1}\n', b'{"v":1,"ask":"views","given":1}\n',
     b'{"v":2,"ask":"views"}\n', b'{"v":1,"ask":"nothing"}\n', b'{"v":1,"ask":"views","given":{}}\n',
     b'{"v":1,"ask":"views","more":2}\n{"v":1,"ask":"views"}\n', b'{"v":1,"ask":"views"}', b"x" * 70_000,
@@ -212,8 +212,8 @@
     b'{"v":1,"ask":"hand_on","given":{"duty":"purge","to":"n9"}}\n',
     b'{"v":1,"ask":"purge","given":{"what":""}}\n', b'{"v":1,"ask":"order","given":{"id":"none"}}\n',
 ]  # fmt: skip
-VIEWS = ["members", "leases", "store"]
-CALLS = [
+QUERIES = ["members", "leases", "store"]
+ADMIN_REQUESTS = [
     b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", b"GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n",
     b"GET /ops/none HTTP/1.1\r\nHost: x\r\n\r\n", b"PUT /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n",
     b"noise\r\n\r\n", b"GET /ops/readiness?x=1 HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -224,20 +224,20 @@
 ]  # fmt: skip
 
 
-def capture_program(folder: Folder) -> Any:
-    """A running director's answers at the control socket and the second address, and its log's names."""
-    folder.platform({**PLATFORM, "admin_addr": "127.0.0.1:0"})
-    hub, leases = free_port(socket.SOCK_DGRAM), free_port(socket.SOCK_DGRAM)
-    own = folder.write(
+def capture_program(folder: CommandFolder) -> Any:
+    """Captures a director's responses at the control socket and the second address, and names in its log."""
+    folder.write_platform_config({**PLATFORM_CONFIG, "admin_addr": "127.0.0.1:0"})
+    hub_port, lease_port = free_port(socket.SOCK_DGRAM), free_port(socket.SOCK_DGRAM)
+    options_path = folder.write(
         "own.toml",
         "[control]\nsocket = 'c.sock'\n[store]\nfolder = 'kept'\n"
         "[members]\nlisten = '127.0.0.1:0'\nkeys = 'good.keys'\n"
-        f"[leases]\nlisten = '127.0.0.1:{leases}'\nkeys = 'good.keys'\nhubs = ['127.0.0.1:{hub}']\n"
-        f"peers = {{n1 = '127.0.0.1:{leases}'}}\n",
+        f"[leases]\nlisten = '127.0.0.1:{lease_port}'\nkeys = 'good.keys'\nhubs = ['127.0.0.1:{hub_port}']\n"
+        f"peers = {{n1 = '127.0.0.1:{lease_port}'}}\n",
     )
     path = str(folder.path / "c.sock")
     program = subprocess.Popen(
-        [sys.executable, "-m", "gladewalk", "run", "--config", own],
+        [sys.executable, "-m", "gladewalk", "run", "--config", options_path],
         cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(folder.path / "node.json")},
         stderr=subprocess.PIPE, text=True,
     )  # fmt: skip
@@ -247,22 +247,25 @@
         while not events or events[-1]["event"] != "serving":
             events.append(json.loads(program.stderr.readline()))
         admin = events[-1]["admin"]
-        while " 200 " not in exchange(admin, CALLS[0]):  # the coordinator never answers: not before its time
+        # No coordinator responds, so the director is ready only after its wait for the coordinator.
+        while " 200 " not in exchange(admin, ADMIN_REQUESTS[0]):
             pass
-        views = {}
-        for view in VIEWS:
-            line = exchange(path, json.dumps({"v": 1, "ask": view}).encode() + b"\n")
-            told = json.loads(line)
-            assert line == json.dumps(told, separators=(",", ":"), ensure_ascii=False) + "\n"
-            views[view] = types(told)
+        responses = {}
+        for query in QUERIES:
+            line = exchange(path, json.dumps({"v": 1, "ask": query}).encode() + b"\n")
+            decoded = json.loads(line)
+            assert line == json.dumps(decoded, separators=(",", ":"), ensure_ascii=False) + "\n"
+            responses[query] = with_type_names(decoded)
         found: dict[str, Any] = {
-            "questions": [[question.decode()[:100], exchange(path, question)] for question in QUESTIONS],
-            "views": views,
-            "calls": [[call.decode()[:100], exchange(admin, call)] for call in CALLS],
+            "questions": [
+                [control_line.decode()[:100], exchange(path, control_line)] for control_line in CONTROL_LINES
+            ],
+            "views": responses,
+            "calls": [[call.decode()[:100], exchange(admin, call)] for call in ADMIN_REQUESTS],
         }
         program.send_signal(signal.SIGTERM)
-        _, rest = program.communicate(timeout=30.0)
-        lines = [json.loads(line) for line in rest.splitlines()]
+        _, remaining_log = program.communicate(timeout=30.0)
+        lines = [json.loads(line) for line in remaining_log.splitlines()]
         counters = lines[-1]
         found["drain"] = [
             {"event": line["event"], "on": line["on"], "keys": sorted(line)}
@@ -283,9 +286,9 @@
     return found
 
 
-CAPTURES: dict[str, Callable[[Folder], Any]] = {
+CAPTURES: dict[str, Callable[[CommandFolder], Any]] = {
     "commands": capture_commands,
-    "bad files": capture_bad_files,
+    "bad files": capture_invalid_files,
     "printed": capture_printed,
     "help": capture_help,
     "settings": capture_settings,
@@ -295,12 +298,13 @@
 
 
 def capture(name: str, path: Path) -> Any:
-    return json.loads(json.dumps(CAPTURES[name](Folder(path))))
+    return json.loads(json.dumps(CAPTURES[name](CommandFolder(path))))
 
 
 @pytest.mark.parametrize("name", CAPTURES)
-def test_what_is_written_and_read_is_as_before(name: str) -> None:
-    with tempfile.TemporaryDirectory() as folder:  # short: a Unix socket's path has 107 bytes at most
+def test_output_matches_the_golden_file(name: str) -> None:
+    # A short path, as a Unix socket's path may have at most 107 bytes.
+    with tempfile.TemporaryDirectory() as folder:
         assert capture(name, Path(folder)) == json.loads(GOLDEN.read_text(encoding="utf-8"))[name]
 
 
