--- a/tests/golden_control_data.py
+++ b/tests/golden_control_data.py
@@ -129,8 +129,8 @@
     {**PLATFORM_CONFIG, "admin_addr": "there"},
     *({**PLATFORM_CONFIG, "settings": invalid} for invalid in INVALID_SETTINGS),
 ]
-# Python itself raises the errors of these, with texts that name internal types and may change. The golden file
-# therefore has only the exit code, the start of the text and its number of lines.
+# Python itself raises the errors of these, with texts that name internal types and may change. The golden
+# file therefore has only the exit code, the start of the text and its number of lines.
 INVALID_PLATFORM_TYPES: list[Any] = [
     {**PLATFORM_CONFIG, "known": []},
     {**PLATFORM_CONFIG, "settings": {**SETTINGS, "limits": 3}},
