--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""Our own settings and the command line: what is bad is one line, what is off is not there."""
+"""The options file and the command line: one-line errors, defaults, and imports of optional parts."""
 
 import json
 import os
@@ -20,7 +20,7 @@
 from tests.http2_rehearsal import authority
 
 ROOT = Path(__file__).parent.parent
-BAD = {
+INVALID_OPTIONS = {
     "[http2]\nmode = 'h3'": "http2.mode: invalid enum value 'h3'",
     "[http2]\nmodes = 'h2c'": "http2.modes: no such setting",
     "[htpp2]\nmode = 'h2c'": "htpp2: no such setting",
@@ -37,18 +37,18 @@
 }
 
 
-@pytest.mark.parametrize(("text", "why"), BAD.items())
-def test_a_bad_setting_is_one_line_that_names_file_and_key(text: str, why: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("text", "reason"), INVALID_OPTIONS.items())
+def test_invalid_setting_is_one_line_that_names_file_and_key(text: str, reason: str, tmp_path: Path) -> None:
     file = tmp_path / "gladewalk.toml"
     file.write_text(text)
     with pytest.raises(ConfigError) as caught:
         load_options(str(file))
-    line = str(caught.value)
-    assert line.startswith(f"{file}: {why}")
-    assert line.count("\n") == 0
+    error_text = str(caught.value)
+    assert error_text.startswith(f"{file}: {reason}")
+    assert error_text.count("\n") == 0
 
 
-def test_the_file_that_is_shipped_has_every_default_as_it_is() -> None:
+def test_shipped_options_file_lists_every_default() -> None:
     file = ROOT / "deploy" / "gladewalk.toml"
     options = load_options(str(file))
     assert (options.http2, options.dns, options.http2.is_used) == (Http2Options(), None, False)
@@ -57,8 +57,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Director:
-    """A platform configuration in a folder, and the command line run with it."""
+class DirectorCommand:
+    """A folder with a platform configuration; runs the command line with this configuration."""
 
     folder: Path
     environ: dict[str, str]
@@ -69,28 +69,28 @@
         file.write_text(text)
         return str(file)
 
-    def run(self, *words: str) -> tuple[int, str]:
+    def run(self, *arguments: str) -> tuple[int, str]:
         """Runs the program to its end; returns its exit code and standard error."""
-        command = [sys.executable, "-m", "gladewalk", *words]
-        done = subprocess.run(
+        command = [sys.executable, "-m", "gladewalk", *arguments]
+        result = subprocess.run(
             command, cwd=ROOT, env=self.environ, capture_output=True, text=True, check=False
         )
-        return done.returncode, done.stderr
+        return result.returncode, result.stderr
 
 
 @pytest.fixture
-def director(tmp_path: Path) -> Director:
+def director(tmp_path: Path) -> DirectorCommand:
     cache = ScriptedServer(None, address="127.0.0.1:1")  # type: ignore[arg-type]
     config = config_for([cache], Coordinator(address="127.0.0.1:1"))
     (tmp_path / "config.json").write_text(json.dumps(config))
-    return Director(tmp_path, {**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")})
+    return DirectorCommand(tmp_path, {**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")})
 
 
 USE_CA = "[http2]\nmode = 'tls'\n[tls]\nca = "
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "reason"),
     [
         ("[http2]\nmode = 1", "http2.mode"),
         (USE_CA + "'none.pem'", "tls.ca: cannot be used: No such file"),
@@ -102,39 +102,41 @@
         ("[dns]\nlisten = 'x'\nzone = 'z.'", "dns.listen: not an address"),
     ],
 )
-def test_a_bad_file_at_the_start_is_one_line_and_exit_2(director: Director, text: str, why: str) -> None:
+def test_unusable_file_at_start_prints_one_line_and_exits_with_2(
+    director: DirectorCommand, text: str, reason: str
+) -> None:
     authority().cert_pem.write_to_path(str(director.folder / "ca.pem"))
     (director.folder / "bad.pem").write_text("no key")
-    exit_code, log = director.run("run", "--config", director.write_options(text))
-    assert (exit_code, log.count("\n")) == (2, 1), log
-    assert f"own.toml: {why}" in log
+    exit_code, error_text = director.run("run", "--config", director.write_options(text))
+    assert (exit_code, error_text.count("\n")) == (2, 1), error_text
+    assert f"own.toml: {reason}" in error_text
 
 
-def test_a_file_that_is_not_there_at_the_start_is_exit_2(director: Director) -> None:
+def test_missing_file_at_start_exits_with_2(director: DirectorCommand) -> None:
     assert director.run("--config", str(director.folder / "none.toml"))[0] == 2
 
 
-def test_check_reads_all_and_starts_nothing(director: Director) -> None:
+def test_check_command_validates_all_files_and_starts_nothing(director: DirectorCommand) -> None:
     runner = CliRunner(env=director.environ)
     path = director.write_options("[http2]\nmode = 'h2c'\n[dns]\nlisten = '127.0.0.1:0'\nzone = 'z.'\n")
-    done = runner.invoke(gladewalk, ["check", "--json", "--config", path])
-    summary = json.loads(done.output)
-    assert (done.exit_code, summary["http2"], summary["dns"]) == (0, "h2c", ["127.0.0.1", 0])
+    result = runner.invoke(gladewalk, ["check", "--json", "--config", path])
+    summary = json.loads(result.output)
+    assert (result.exit_code, summary["http2"], summary["dns"]) == (0, "h2c", ["127.0.0.1", 0])
     assert runner.invoke(gladewalk, ["check", "--config", "nowhere"]).exit_code == 2
     assert runner.invoke(gladewalk, ["frobnicate"]).exit_code == 2
     for command in ("run", "check", "import", "rehearse"):
         assert runner.invoke(gladewalk, [command, "--help"]).exit_code == 0
 
 
-def test_what_is_off_is_not_imported(director: Director) -> None:
+def test_optional_parts_that_are_off_are_not_imported(director: DirectorCommand) -> None:
     probe = (
         "import sys, gladewalk.daemon as d; d.load_configuration(None, None)\n"
-        "late = ('h2', 'hpack', 'msgspec', 'click', 'dns', 'tomllib', 'gladewalk.streams',"
+        "optional = ('h2', 'hpack', 'msgspec', 'click', 'dns', 'tomllib', 'gladewalk.streams',"
         " 'gladewalk.cli.commands', 'gladewalk.config.options', 'gladewalk.dns', 'gladewalk.rehearsal')\n"
-        "print(sorted(set(late) & set(sys.modules)))"
+        "print(sorted(set(optional) & set(sys.modules)))"
     )
     command = [sys.executable, "-c", probe]
-    done = subprocess.run(
+    result = subprocess.run(
         command, cwd=ROOT, env=director.environ, capture_output=True, text=True, check=False
     )
-    assert done.stdout.strip() == "[]", done.stderr
+    assert result.stdout.strip() == "[]", result.stderr
