--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -43,9 +43,9 @@
     file.write_text(text)
     with pytest.raises(ConfigError) as caught:
         load_options(str(file))
-    error_text = str(caught.value)
-    assert error_text.startswith(f"{file}: {reason}")
-    assert error_text.count("\n") == 0
+    message = str(caught.value)
+    assert message.startswith(f"{file}: {reason}")
+    assert message.count("\n") == 0
 
 
 def test_shipped_options_file_lists_every_default() -> None:
