--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -1,4 +1,4 @@
-"""A director: connects its parts to each other; start, configuration reloads and graceful shutdown."""
+"""Builds a director from its parts; controls its start, configuration reloads and graceful shutdown."""
 
 from __future__ import annotations
 
