--- a/gladewalk/members/actions.py
+++ b/gladewalk/members/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the protocol asks its transport to carry out, and the changes and events that it reports."""
+"""Actions that the protocol returns for its transport to carry out, including reported changes and events."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
     JOINED = "joined"
     SUSPECTED = "suspected"
     CLEARED = "cleared"  # a suspicion was refuted
-    STALLED = "stalled"  # its system accepts connections, its process does not answer: others take its tasks
-    REFUTED = "refuted"  # the local member was called suspect or dead, and has refuted it
+    STALLED = "stalled"  # its host accepts connections, its process does not respond: others take its tasks
+    REFUTED = "refuted"  # the local member was reported suspect or dead, and has refuted the report
     DIED = "died"
     LEFT = "left"
-    NAME_TAKEN = "name_taken"  # an older process runs under the local name: the local member stands down
+    NAME_TAKEN = "name_taken"  # an older process has the local name: the local member deactivates itself
 
     @property
     def log_event(self) -> str:
-        """Name of its event in the log."""
+        """Name of the log event for this change."""
         return f"member_{self.value}"
 
     @property
     def counter(self) -> str:
-        """Name of its counter."""
+        """Name of the counter for this change."""
         return f"members.{self.value}"
 
 
@@ -37,19 +37,19 @@
     """Result of a confirmation probe of a suspected member's stream port."""
 
     RESPONDED = "here"
-    REFUSED = "gone"  # no process listens there
-    UNRESPONSIVE = "silent"  # the system accepted the connection, the process did not answer in time
+    REFUSED = "gone"  # no process listens at the port
+    UNRESPONSIVE = "silent"  # its host accepted the connection, its process did not respond in time
     UNREACHABLE = "unreachable"
 
     @property
     def counter(self) -> str:
-        """Name of its counter."""
+        """Name of the counter for this outcome."""
         return f"members.knock_{self.value}"
 
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a message to an address; nothing is reported back."""
+    """Send a message to an address; whether it arrives is not reported."""
 
     to: Address
     message: DatagramMessage
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberChanged:
-    """Report a change of the member of this name."""
+    """Report that the member of this name changed."""
 
     change: MemberChange
     name: str
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EventReceived:
-    """Report a user event from another member, once for each that supersedes what was known of its task."""
+    """Report a user event from another member that supersedes the latest known event of its task."""
 
     event: UserEvent
 
@@ -92,7 +92,7 @@
 
 
 class Outbox:
-    """Collects actions in the order in which they are to be carried out."""
+    """Collects the actions that the transport is to carry out, in order."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -102,7 +102,7 @@
         self._actions.append(action)
 
     def send(self, to: Address, message: DatagramMessage) -> None:
-        """Appends the sending of a datagram."""
+        """Appends an action that sends a datagram."""
         self._actions.append(SendDatagram(to, message))
 
     def take(self) -> list[Action]:
--- a/gladewalk/members/authenticator.py
+++ b/gladewalk/members/authenticator.py
@@ -2,9 +2,9 @@
 
     version (1)  key id (4)  sent at, Unix ms (8)  nonce (8)  message  HMAC-SHA256, truncated to 16 (RFC 2104)
 
-The first key of the ring signs, every key verifies. A key is rotated in three steps, each on all members
-before the next one: append the new key, move it to the front, remove the old key. What fails verification is
-never answered.
+Messages are signed with the first key of the ring and verified with any of them. A key is rotated in three
+steps, each on all members before the next one: append the new key, move it to the front, remove the old key.
+A message that fails verification gets no response.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
     MALFORMED = "malformed"
     UNKNOWN_KEY = "unknown_key"
     FORGED = "forged"
-    STALE = "stale"  # outside the time window: clocks differ, or it was delayed for too long
+    STALE = "stale"  # sent outside the time window: the clocks differ, or the message was delayed too long
     REPLAYED = "replayed"
 
 
 @dataclass(slots=True, frozen=True, repr=False)
 class AuthenticationKey:
-    """A secret and its public id. Its text form shows the id alone, so that no log can hold the secret."""
+    """A secret and its public id. `repr` shows only the id, so that logs never contain the secret."""
 
     id: bytes
     secret: bytes
@@ -59,9 +59,9 @@
 
 
 def load_key_ring(path: Path) -> tuple[AuthenticationKey, ...]:
-    """Reads a key ring, the signing key first.
+    """Reads a key ring from a file; the first key is the signing key.
 
-    Raises `ConfigError` for a file that is no key ring or that others than its owner can read.
+    Raises `ConfigError` if the file is not a valid key ring or is readable by other users than its owner.
     """
     return tuple(key_from_secret(secret) for secret in load_hex_keys(path, "members.keys", MIN_KEY_BYTES))
 
@@ -69,32 +69,37 @@
 class MessageAuthenticator:
     """Signs and verifies messages.
 
-    `window_ms` bounds how far a message's time may be from the local clock, either way. Tags of accepted
-    messages are remembered for as long as the window accepts them again, `max_replay_tags` at the most.
+    `window_ms` is the largest accepted difference between a message's time and the local clock, in either
+    direction. Tags of accepted messages are kept until the window excludes the messages, at most
+    `max_replay_tags` at a time.
     """
 
     def __init__(
         self, keys: tuple[AuthenticationKey, ...], window_ms: float, max_replay_tags: int = MAX_REPLAY_TAGS
     ) -> None:
         self.window_ms, self.max_replay_tags = window_ms, max_replay_tags
-        self._forget_at_ms: OrderedDict[bytes, float] = OrderedDict()  # by tag, in order of arrival
+        # When each tag may be forgotten, in the order in which the messages were received.
+        self._expires_at_ms_by_tag: OrderedDict[bytes, float] = OrderedDict()
         self.replace_keys(keys)
 
     def replace_keys(self, keys: tuple[AuthenticationKey, ...]) -> None:
-        """Replaces the key ring; the first key signs from now on."""
+        """Replaces the key ring; from now on messages are signed with its first key."""
         self._secrets = {key.id: key.secret for key in keys}
         self.signing_key = keys[0]
 
     def sign(self, message: bytes, now_ms: float, nonce: int, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
-        """Adds header and tag; raises `MessageTooLargeError` above `max_bytes`. `nonce` has 64 bits."""
+        """Adds header and tag. `nonce` has 64 bits.
+
+        Raises `MessageTooLargeError` if the signed message is larger than `max_bytes`.
+        """
         body = HEADER.pack(VERSION, self.signing_key.id, int(now_ms), nonce) + message
         signed = body + self._tag_of(self.signing_key.secret, body)
         if len(signed) > max_bytes:
-            raise MessageTooLargeError(f"{len(signed)} bytes, {max_bytes} at the most")
+            raise MessageTooLargeError(f"{len(signed)} bytes with header and tag, {max_bytes} are allowed")
         return signed
 
     def verify(self, data: bytes, now_ms: float, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes | DropReason:
-        """Returns the message, or why it is to be dropped. A tag is remembered only once it was verified."""
+        """Returns the message, or the reason to drop it. Only tags of verified messages are remembered."""
         if len(data) > max_bytes:
             return DropReason.OVERSIZED
         if len(data) < OVERHEAD_BYTES or data[0] != VERSION:
@@ -109,10 +114,10 @@
         if abs(now_ms - sent_ms) > self.window_ms:
             return DropReason.STALE
         self._forget_expired_tags(now_ms)
-        # With the memory full, replays can't be recognized any more: then every message counts as one.
-        if tag in self._forget_at_ms or len(self._forget_at_ms) >= self.max_replay_tags:
+        # Without room for another tag, a replay of this message could not be detected later: reject it.
+        if tag in self._expires_at_ms_by_tag or len(self._expires_at_ms_by_tag) >= self.max_replay_tags:
             return DropReason.REPLAYED
-        self._forget_at_ms[tag] = sent_ms + self.window_ms
+        self._expires_at_ms_by_tag[tag] = sent_ms + self.window_ms
         return body[HEADER.size :]
 
     @staticmethod
@@ -120,8 +125,8 @@
         return hmac.digest(secret, body, "sha256")[:TAG_BYTES]
 
     def _forget_expired_tags(self, now_ms: float) -> None:
-        while self._forget_at_ms:
-            tag, forget_at_ms = next(iter(self._forget_at_ms.items()))
-            if forget_at_ms >= now_ms:
+        while self._expires_at_ms_by_tag:
+            tag, expires_at_ms = next(iter(self._expires_at_ms_by_tag.items()))
+            if expires_at_ms >= now_ms:
                 return
-            del self._forget_at_ms[tag]
+            del self._expires_at_ms_by_tag[tag]
--- a/gladewalk/members/context.py
+++ b/gladewalk/members/context.py
@@ -1,4 +1,4 @@
-"""The parts of membership that its state machines share."""
+"""The objects that the state machines of the membership protocol share."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from .messages import MemberUpdate
 from .pings import PingTracker
 
-STOP_PERIODS = 3.0  # a process that did not run for so many ping periods was stopped
+STOP_PERIODS = 3.0  # a process that did not run for this many ping periods is taken to have been stopped
 
 
 @dataclass(slots=True, frozen=True)
 class ProtocolContext:
-    """One instance of each shared part; every part alone writes its own state.
+    """One instance of each shared object; each object alone modifies its own state.
 
-    `rng` is the only source of randomness: with a seeded one and virtual time a run can be repeated.
+    `rng` is the only source of randomness: with a fixed seed and virtual time, a run can be reproduced.
     """
 
     config: MembershipConfig
@@ -42,7 +42,7 @@
 
 
 def create_context(update: MemberUpdate, config: MembershipConfig, rng: random.Random) -> ProtocolContext:
-    """Creates the shared parts of a member that knows no others yet."""
+    """Creates the shared objects of a member that knows no other members yet."""
     local, members = LocalMember(update), MemberList()
     dissemination = Dissemination(config, lambda: len(members.by_name))
     return ProtocolContext(
--- a/gladewalk/members/dissemination.py
+++ b/gladewalk/members/dissemination.py
@@ -1,7 +1,7 @@
 """Dissemination of member updates and user events by piggybacking (SWIM, sections 4.1 and 4.2).
 
-Each piece is transmitted about `retransmit_factor * log10(members)` times, the least transmitted pieces
-first. Pieces that still miss a member are delivered by state synchronization.
+Each update or event is transmitted about `retransmit_factor * log10(members)` times, the least often
+transmitted ones first. A member that receives none of these transmissions gets it by state synchronization.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from .config import MembershipConfig
 from .messages import MemberUpdate, UserEvent, encoded_size_bytes, stable_hash
 
-MAX_GOSSIP_BYTES = 1_000  # per message; leaves room for the message itself and its authentication
+MAX_GOSSIP_BYTES = 1_000  # per message; leaves room for the message's own fields and its authentication
 Item = TypeVar("Item", MemberUpdate, UserEvent)
 
 
 class TransmitQueue(Generic[Item]):
-    """Queue of pieces of gossip by key: the least often transmitted first, of these the oldest.
+    """Queue of gossip by key, ordered by number of transmissions and then by age, the oldest first.
 
-    One ordered level for each number of transmissions, so that a message costs by what it carries and not by
-    what is queued.
+    Items are kept in one ordered level for each number of transmissions. So the cost of building a message
+    depends on how many items it carries, and not on how many are queued.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         return len(self._level_by_key)
 
     def put(self, key: str, item: Item) -> None:
-        """Queues an item in place of any older one of its key; its transmissions count from 0."""
+        """Queues an item in place of any older one of its key, with no transmissions yet."""
         self.discard(key)
         self._levels[0][key] = item
         self._level_by_key[key] = 0
@@ -50,7 +50,7 @@
         self._level_by_key = {}
 
     def take(self, max_bytes: int, max_transmissions: int) -> list[Item]:
-        """Returns the items for one message; drops those that reach `max_transmissions` with it."""
+        """Returns items for one message; removes those that have then had `max_transmissions`."""
         chosen: list[tuple[str, Item]] = []
         for key, item in chain.from_iterable(level.items() for level in self._levels):
             max_bytes -= encoded_size_bytes(item)
@@ -73,21 +73,21 @@
 
 
 def claim_hash(event: UserEvent) -> int:
-    """63-bit hash of who owns a task under which claim."""
+    """63-bit hash of a task's ownership claim: task, epoch and owner."""
     return stable_hash((event.task, event.epoch, event.owner))
 
 
 class Dissemination:
     """Gossip queued for transmission, and the latest user event of each task.
 
-    `member_count` returns the number of known members, on which the number of transmissions depends.
+    `member_count` returns the number of known members, from which the number of transmissions is computed.
     """
 
     def __init__(self, config: MembershipConfig, member_count: Callable[[], int]) -> None:
         self.queued_updates: TransmitQueue[MemberUpdate] = TransmitQueue()
         self.queued_events: TransmitQueue[UserEvent] = TransmitQueue()
         self.latest_events: dict[str, UserEvent] = {}  # by task, transmitted or not
-        self.digest = 0  # XOR over the claims: independent of the order in which they came
+        self.digest = 0  # XOR of the hashes of all claims: independent of the order in which they arrived
         self._config, self._member_count = config, member_count
 
     def queue_update(self, update: MemberUpdate) -> None:
@@ -99,9 +99,9 @@
         self.queued_updates.discard(name)
 
     def learn_event(self, event: UserEvent) -> bool:
-        """Queues an event that supersedes what is known of its task; returns whether it does.
+        """Queues an event if it supersedes the latest known event of its task; returns whether it does.
 
-        An event of a new task is dropped once `max_events` tasks are known.
+        The first event of a task is dropped if events of `max_events` tasks are known already.
         """
         known = self.latest_events.get(event.task)
         if known is None:
@@ -123,15 +123,15 @@
         self.queued_events.discard(task)
 
     def take_updates(self) -> list[MemberUpdate]:
-        """Returns the updates that the next message carries, `MAX_GOSSIP_BYTES` at the most."""
+        """Returns the updates for the next message, at most `MAX_GOSSIP_BYTES`."""
         return self.queued_updates.take(MAX_GOSSIP_BYTES, self._max_transmissions())
 
     def take_events(self, updates: list[MemberUpdate]) -> list[UserEvent]:
-        """Returns the events that fit into a message beside these updates."""
+        """Returns the events that fit into a message together with these updates."""
         if not self.queued_events:
             return []
-        left_bytes = MAX_GOSSIP_BYTES - sum(map(encoded_size_bytes, updates))
-        return self.queued_events.take(left_bytes, self._max_transmissions())
+        remaining_bytes = MAX_GOSSIP_BYTES - sum(map(encoded_size_bytes, updates))
+        return self.queued_events.take(remaining_bytes, self._max_transmissions())
 
     def _max_transmissions(self) -> int:
         return math.ceil(self._config.retransmit_factor * math.log10(self._member_count() + 2))
--- a/gladewalk/members/errors.py
+++ b/gladewalk/members/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of membership."""
+"""Exceptions of the membership protocol."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class MembershipError(GladewalkError):
-    """Base of all errors that membership raises."""
+    """Base class of all errors that the membership protocol raises."""
 
 
 class MalformedMessageError(MembershipError):
-    """A received message does not decode: of another version, or no message between members at all."""
+    """A received message can't be decoded: it has another version, or is no message between members."""
 
 
 class MessageTooLargeError(MembershipError):
-    """A message to be sent exceeds its transport's limit."""
+    """An outgoing message exceeds the size limit of its transport."""
 
 
 class PeerDroppedError(MembershipError):
-    """A peer's stream is not read any further; `reason` is the last part of its counter."""
+    """A peer's stream is disconnected; `reason` is the last part of the name of the counter."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/gladewalk/members/failure_detector.py
+++ b/gladewalk/members/failure_detector.py
@@ -10,7 +10,10 @@
 
 
 class FailureDetector:
-    """Pings one member each period and judges its answer. Its own state is when the next period begins."""
+    """Pings one member each period and suspects it if it doesn't respond.
+
+    The only state that it keeps itself is when the next period begins.
+    """
 
     def __init__(
         self, context: ProtocolContext, gossip: GossipState, probe_round: ProbeRound, now_ms: float
@@ -19,35 +22,35 @@
         self.next_period_ms = now_ms + context.rng.random() * context.config.ping_period_ms
 
     def due_times_ms(self, now_ms: float) -> list[float]:
-        """When a period begins or an awaited answer times out."""
+        """Times of the next period and of the timeouts of pending pings."""
         context = self._context
         delay_ms = context.loop_delay.current_ms(now_ms)
         timeouts_ms = context.pings.due_times_ms(context.local.health.score)
         return [self.next_period_ms, *(timeout_ms + delay_ms for timeout_ms in timeouts_ms)]
 
     def begin_period(self, now_ms: float) -> None:
-        """Judges the ping of the last period and pings the next member."""
+        """Evaluates the ping of the last period and pings the next member."""
         context = self._context
-        self._judge_pending_ping(now_ms)
+        self._evaluate_pending_ping(now_ms)
         while self.next_period_ms <= now_ms:
             self.next_period_ms += context.pings.period_ms(context.local.health.score)
         target = self._probe_round.next_target()
         if target is None:
             return
         sequence = context.pings.start(target.name, now_ms)
-        context.messages.prioritize_doubts(target.name)
+        context.messages.requeue_suspicion(target.name)
         ping = context.messages.ping(target.name, target.update.run_id, sequence)
         context.outbox.send(target.address, ping)
 
     def request_indirect_pings(self, now_ms: float) -> None:
-        """Asks some members to ping the target once its direct answer is overdue."""
+        """Requests some members to ping the target once the ack of the direct ping is overdue."""
         context, pending = self._context, self._context.pings.pending
-        if pending is None or pending.has_asked_helpers:
+        if pending is None or pending.has_requested_indirect_pings:
             return
         timeout_ms = context.pings.timeout_ms(context.local.health.score)
         if now_ms < pending.sent_ms + timeout_ms + context.loop_delay.current_ms(now_ms):
             return
-        pending.has_asked_helpers = True
+        pending.has_requested_indirect_pings = True
         target = context.members.by_name[pending.name]
         helpers = context.members.sample_alive(target, context.config.indirect_ping_members, context.rng)
         pending.helper_count = len(helpers)
@@ -56,7 +59,7 @@
             context.outbox.send(helper.address, request)
 
     def send_overdue_nacks(self, now_ms: float) -> None:
-        """Answers the ping requests of others whose target has not answered in time."""
+        """Sends a nack for each ping request whose target has not responded in time."""
         for ping in self._context.pings.take_overdue_indirect(now_ms):
             nack = self._context.messages.nack(ping.requester_sequence)
             self._context.outbox.send(ping.requester, nack)
@@ -68,7 +71,7 @@
         self._context.outbox.send((request.host, request.port), ping)
 
     def on_ack(self, ack: Ack, now_ms: float) -> None:
-        """Passes on the answer to an indirect ping, or ends the pending ping."""
+        """Forwards the ack of an indirect ping to its requester, or ends the pending ping."""
         context = self._context
         indirect = context.pings.take_indirect(ack.sequence)
         if indirect is not None:
@@ -77,25 +80,25 @@
             context.local.health.improve()
 
     def on_nack(self, nack: Nack) -> None:
-        """Counts a helper that reached us and not the target."""
+        """Counts a helper that got no ack from the target and could report this to us."""
         self._context.pings.on_nack(nack.sequence)
 
     def shift(self, by_ms: float) -> None:
-        """Moves all times, after the local clock jumped or the process was stopped."""
+        """Shifts all stored times, after the local clock jumped or the process was stopped."""
         self.next_period_ms += by_ms
         self._context.pings.shift(by_ms)
 
-    def _judge_pending_ping(self, now_ms: float) -> None:
-        """Suspects the target of an unanswered ping, unless the fault may be on our side."""
+    def _evaluate_pending_ping(self, now_ms: float) -> None:
+        """Suspects the target of an unanswered ping, unless the fault may be on the local side."""
         context = self._context
         pending, context.pings.pending = context.pings.pending, None
         if pending is None:
             return
         member = context.members.by_name.get(pending.name)
         if member is not None and member.last_received_ms >= pending.sent_ms:
-            context.local.health.worsen()  # it is heard: our ping or its answer was lost
+            context.local.health.worsen()  # it sent other messages: only the ping or its ack was lost
             return
-        # Helpers that did not even send a nack: our own messages may be what is lost (Lifeguard).
+        # If helpers don't even send a nack, the local member's own messages may be lost (Lifeguard).
         missing_nacks = max(0, pending.helper_count - pending.nack_count)
         context.local.health.worsen(1 + missing_nacks)
         if member is not None and member.is_live:
--- a/gladewalk/members/history.py
+++ b/gladewalk/members/history.py
@@ -1,8 +1,8 @@
 """Checks of a fleet's membership history: unexpected deaths, detection times, convergence.
 
-The history is every change that any member observed, with its time on one clock. It comes from a fleet's logs
-(`faultnet`) or from a simulated network (`rehearsal/member_network.py`). What was done to the fleet is given
-as expected failures: which deaths may be observed by whom, and when.
+A history contains every change that any member observed, with times of one clock. It is read from a fleet's
+logs (`faultnet`) or recorded in a simulated network (`rehearsal/member_network.py`). The faults that were
+injected are given as expected failures: which deaths may be observed, by which members, and when.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObservedChange:
-    """A change of `member` as `observer` noted it, at a Unix time in ms."""
+    """A change of `member` that `observer` recorded, at a Unix time in ms."""
 
     at_ms: float
     observer: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExpectedFailure:
-    """From `begin_ms` to `end_ms`, any of `observers` may find any of `members` dead."""
+    """From `begin_ms` to `end_ms`, any of `observers` may declare any of `members` dead."""
 
     begin_ms: float
     end_ms: float
@@ -41,7 +41,7 @@
     members: frozenset[str]
 
     def covers(self, observed: ObservedChange) -> bool:
-        """Whether this accounts for an observed death."""
+        """Whether this failure explains an observed death."""
         is_in_time = self.begin_ms <= observed.at_ms <= self.end_ms
         return is_in_time and observed.observer in self.observers and observed.member in self.members
 
@@ -49,7 +49,7 @@
 def changes_from_log(name: str, lines: Iterable[Mapping[str, Any]]) -> list[ObservedChange]:
     """Reads the changes that the director of this name logged, in all its runs.
 
-    A start counts as the departure of everyone whom the run before knew.
+    The start of a run counts as the departure of all members that the previous run knew.
     """
     changes: list[ObservedChange] = []
     known: set[str] = set()
@@ -62,10 +62,10 @@
         if event == START_EVENT:
             changes += [ObservedChange(at_ms, name, MemberChange.LEFT, other) for other in sorted(known)]
             known.clear()
-        elif (found := CHANGE_EVENT.match(event)) is not None:
+        elif (match := CHANGE_EVENT.match(event)) is not None:
             member = str(line["member"])
             known.add(member)
-            changes.append(ObservedChange(at_ms, name, MemberChange(found[1]), member))
+            changes.append(ObservedChange(at_ms, name, MemberChange(match[1]), member))
     return changes
 
 
@@ -80,7 +80,10 @@
 def detection_times_ms(
     changes: Iterable[ObservedChange], member: str, since_ms: float, observers: Collection[str]
 ) -> dict[str, float]:
-    """Returns how long after `since_ms` each observer found `member` dead; without those that never did."""
+    """Returns the time from `since_ms` until each observer declared `member` dead.
+
+    Observers that never did are left out.
+    """
     times_ms: dict[str, float] = {}
     for observed in sorted(changes, key=lambda observed: observed.at_ms):
         is_death = observed.member == member and observed.change is MemberChange.DIED
@@ -92,9 +95,10 @@
 def convergence_time_ms(
     changes: Iterable[ObservedChange], since_ms: float, names: Collection[str]
 ) -> float | None:
-    """Returns how long after `since_ms` each of `names` held all others for members, for good.
+    """Returns the time from `since_ms` until each of `names` lists all others as members, to the end.
 
-    None if they did not converge. A suspect is a member; one that nothing was observed of is none.
+    None if they did not converge. A suspect counts as a member; a member without any observed change does
+    not.
     """
     missing = {(observer, member) for observer in names for member in names if observer != member}
     fleet = frozenset(names)
--- a/gladewalk/members/local_health.py
+++ b/gladewalk/members/local_health.py
@@ -1,16 +1,16 @@
-"""Local health: how far the local member distrusts itself (Lifeguard's LHA-Probe)."""
+"""Local health: how likely a missing response is the local member's own fault (Lifeguard's LHA-Probe)."""
 
 from __future__ import annotations
 
-MAX_HEALTH_SCORE = 8  # bounds how far a member that misses answers may stretch its own timeouts
-UNHEALTHY_SCORE = 4  # from here on a member's word about others weighs less
+MAX_HEALTH_SCORE = 8  # bounds how far a member that misses responses may extend its own timeouts
+UNHEALTHY_SCORE = 4  # from this score on, a member's suspicions and death reports have less weight
 
 
 class LocalHealth:
     """Lifeguard's local health multiplier: 0 is healthy, `MAX_HEALTH_SCORE` the worst.
 
-    Missed answers and refuted suspicions raise the score, timely answers lower it. Timeouts of direct pings
-    grow by the factor 1 + `score`, so that a slow member suspects others later.
+    Missed responses and refuted suspicions raise the score, timely responses lower it. Timeouts of direct
+    pings are multiplied by 1 + `score`, so that a slow member suspects others later.
     """
 
     def __init__(self) -> None:
--- a/gladewalk/members/local_member.py
+++ b/gladewalk/members/local_member.py
@@ -1,4 +1,4 @@
-"""The local member: its own update as others gossip it, and its health."""
+"""The local member: its own update, which is gossiped to the others, and its health."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LocalMember:
-    """Owner of the local member's update: nobody else may change its incarnation or state."""
+    """Owns the local member's update; no other object may change its incarnation or state."""
 
     def __init__(self, update: MemberUpdate) -> None:
         self.update = update
@@ -32,14 +32,14 @@
         return self.update.host, self.update.port
 
     def bind_port(self, port: int) -> None:
-        """Sets the port that the system chose."""
+        """Sets the port that the operating system chose."""
         self.update = msgspec.structs.replace(self.update, port=port)
 
     def refute(self, incarnation: int) -> None:
-        """Takes an incarnation above the one under which something untrue was said of us."""
+        """Raises the incarnation above that of a false update of the local member."""
         self.update = msgspec.structs.replace(self.update, incarnation=incarnation + 1)
 
     def leave(self) -> None:
-        """Announces the departure under a new incarnation."""
+        """Sets the state to LEFT, under a new incarnation."""
         incarnation = self.update.incarnation + 1
         self.update = msgspec.structs.replace(self.update, incarnation=incarnation, state=MemberState.LEFT)
--- a/gladewalk/members/message_builder.py
+++ b/gladewalk/members/message_builder.py
@@ -22,14 +22,14 @@
     encoded_size_bytes,
 )
 
-MIN_UPDATE_BYTES = 20  # bounds how many updates are drawn for a datagram
-NO_SEQUENCE = 0  # of messages to which no answer is awaited
+MIN_UPDATE_BYTES = 20  # limits the number of updates that are drawn for a datagram
+NO_SEQUENCE = 0  # for messages to which no response is expected
 
 
 class MessageBuilder:
     """Builds messages from the local member, the member list and pending gossip.
 
-    Reads those three, and counts transmissions in `Dissemination`; sends nothing itself.
+    It only reads these, except that `Dissemination` counts each transmission; it sends nothing itself.
     """
 
     def __init__(
@@ -41,35 +41,35 @@
     # Messages that carry pending gossip.
 
     def ping(self, target: str, target_run_id: int, sequence: int) -> Ping:
-        """Direct ping of a member."""
+        """Builds a direct ping of a member."""
         return Ping(
             **self._header(), **self._gossip(), target=target, target_run_id=target_run_id, sequence=sequence
         )
 
     def ack(self, sequence: int) -> Ack:
-        """Answer to a ping."""
+        """Builds the response to a ping."""
         return Ack(**self._header(), **self._gossip(), sequence=sequence)
 
     def nack(self, sequence: int) -> Nack:
-        """Answer to a ping request whose target did not answer."""
+        """Builds the response to a ping request whose target did not respond."""
         return Nack(**self._header(), **self._gossip(), sequence=sequence)
 
     def ping_request(self, target: MemberUpdate, sequence: int) -> PingRequest:
-        """Request to ping a member on our behalf."""
+        """Builds a request to ping a member on our behalf."""
         return PingRequest(**self._header(), **self._gossip(), **self._target(target), sequence=sequence)
 
     def join(self) -> Join:
-        """Request for the receiver's member list; always carries the local member's update."""
+        """Builds a request for the receiver's member list; it always carries the local member's update."""
         updates = self._dissemination.take_updates()
         if self._local.update not in updates:
             updates.append(self._local.update)
         events = self._dissemination.take_events(updates)
         return Join(**self._header(), updates=updates, events=events)
 
-    def prioritize_doubts(self, name: str) -> None:
-        """Queues a suspect's or dead member's update anew: the next message tells the member itself.
+    def requeue_suspicion(self, name: str) -> None:
+        """Queues the update of a suspect or dead member again, so that the next message to it carries it.
 
-        Lifeguard's buddy system: it can refute at once.
+        This is Lifeguard's buddy system: the member is notified with that message and can refute at once.
         """
         member = self._members.by_name.get(name)
         if member is not None and member.update.state is not MemberState.ALIVE:
@@ -78,36 +78,36 @@
     # Messages that carry chosen updates and no pending gossip.
 
     def notification(self, member: Member) -> Ping:
-        """Ping that tells a member what is said of it; its answer is not awaited."""
+        """Builds a ping that notifies a member of its own suspicion or death; no response is expected."""
         update = member.update
         return Ping(**self._header(), updates=[update], target=update.name, target_run_id=update.run_id)
 
     def single_update(self, update: MemberUpdate) -> Ack:
-        """Unsolicited acknowledgement that carries one update."""
+        """Builds an unsolicited ack that carries one update."""
         return Ack(**self._header(), updates=[update], sequence=NO_SEQUENCE)
 
     def announcement(self) -> PartialState:
-        """The local member's update alone."""
+        """Builds a message that carries only the local member's update."""
         return PartialState(**self._header(), updates=[self._local.update])
 
     def relayed_announcement(self, target: MemberUpdate) -> PingRequest:
-        """The local member's update, with a request to ping `target`, which passes it on."""
+        """Builds a ping request with the local member's update, which the helper's ping forwards."""
         updates = [self._local.update]
         return PingRequest(**self._header(), updates=updates, **self._target(target), sequence=NO_SEQUENCE)
 
     def join_with(self, update: MemberUpdate) -> Join:
-        """Join request to a member thought dead, with the update that it is to refute."""
+        """Builds a join request to a member declared dead, with the update that it is to refute."""
         return Join(**self._header(), updates=[self._local.update, update])
 
     def partial_state(self, wants_reply: bool = False) -> PartialState:
-        """As much of the member list as a datagram holds: the local member, then a random selection."""
+        """Builds as much of the member list as a datagram holds: the local member and a random sample."""
         others = [member.update for member in self._members.by_name.values()]
         drawn = self._rng.sample(others, min(len(others), MAX_GOSSIP_BYTES // MIN_UPDATE_BYTES))
         updates = [self._local.update]
-        left_bytes = MAX_GOSSIP_BYTES - encoded_size_bytes(self._local.update)
+        remaining_bytes = MAX_GOSSIP_BYTES - encoded_size_bytes(self._local.update)
         for update in drawn:
-            left_bytes -= encoded_size_bytes(update)
-            if left_bytes < 0:
+            remaining_bytes -= encoded_size_bytes(update)
+            if remaining_bytes < 0:
                 break
             updates.append(update)
         is_complete = len(updates) > len(others)
@@ -116,11 +116,11 @@
         )
 
     def confirmation_probe(self, update: MemberUpdate) -> ConfirmationProbe:
-        """Probe of a suspect's stream port, with the suspicion."""
+        """Builds a probe of a suspect's stream port, with the suspicion."""
         return ConfirmationProbe(**self._header(), updates=[update])
 
     def confirmation_ack(self) -> ConfirmationAck:
-        """Answer to a confirmation probe, with the local member's update."""
+        """Builds the response to a confirmation probe, with the local member's update."""
         return ConfirmationAck(**self._header(), updates=[self._local.update])
 
     def _header(self) -> dict[str, Any]:
--- a/gladewalk/members/pings.py
+++ b/gladewalk/members/pings.py
@@ -1,7 +1,7 @@
 """Bookkeeping of direct and indirect pings, and the measured round-trip time.
 
-The round-trip time is the median of the last few answers. On paths slower than the configuration foresees,
-timeouts and periods grow with it, so that nobody is suspected for a slow path.
+The round-trip time is the median over the last few acks. If it is long compared with the configured timeout,
+timeouts and periods are extended, so that members are not suspected because of a slow path.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from .actions import Address
 from .config import MembershipConfig
 
-TIMEOUT_FACTOR = 1.5  # times the round-trip time: how long an answer is awaited
-PERIOD_FACTOR = 2.5  # times that timeout: a period holds a direct ping, then an indirect one
-MAX_PERIOD_FACTOR = 8.0  # times the configured period: the longest that slow paths make of it
-MAX_SENT_PINGS = 64  # pings whose late answers are still measured
-MAX_ROUND_TRIP_PERIODS = 6.0  # a later answer tells of a stalled process and nothing of the path
+TIMEOUT_FACTOR = 1.5  # times the round-trip time: shortest timeout of a ping
+PERIOD_FACTOR = 2.5  # times that timeout: a period must be long enough for a direct, then an indirect ping
+MAX_PERIOD_FACTOR = 8.0  # times the configured period: the longest period that slow paths can cause
+MAX_SENT_PINGS = 64  # pings of which the round-trip time is still measured if their ack is delayed
+MAX_ROUND_TRIP_PERIODS = 6.0  # an ack delayed by more is due to a stalled process, not to the path
 ROUND_TRIP_SAMPLES = 5
 
 
 @dataclass(slots=True)
 class PendingPing:
-    """The ping of this period, whose answer is awaited."""
+    """The ping of this period, while its ack is pending."""
 
     name: str
     sequence: int
     sent_ms: float
-    has_asked_helpers: bool = False
+    has_requested_indirect_pings: bool = False
     helper_count: int = 0
     nack_count: int = 0
 
 
 @dataclass(slots=True)
 class IndirectPing:
-    """A ping on behalf of another member, which is answered with its own sequence number."""
+    """A ping on behalf of another member, the requester, which gets an ack with its own sequence number."""
 
     requester: Address
     requester_sequence: int
@@ -43,14 +43,14 @@
 
 
 class PingTracker:
-    """Pending and indirect pings by sequence number, and the timeouts that follow from answers.
+    """Pending and indirect pings by sequence number, and timeouts derived from measured round-trip times.
 
     Times are in ms; `health_score` is the local health (0: healthy).
     """
 
     def __init__(self, config: MembershipConfig) -> None:
         self.pending: PendingPing | None = None
-        self.round_trip_ms = 0.0  # 0 until the first answer
+        self.round_trip_ms = 0.0  # 0 until the first ack
         self._config = config
         self._indirect: dict[int, IndirectPing] = {}
         self._sent_ms: OrderedDict[int, float] = OrderedDict()
@@ -58,11 +58,11 @@
         self._samples_ms: deque[float] = deque(maxlen=ROUND_TRIP_SAMPLES)
 
     def timeout_ms(self, health_score: int) -> float:
-        """How long a direct answer is awaited."""
+        """Timeout of a direct ping."""
         return max(self._config.ping_timeout_ms * (1 + health_score), TIMEOUT_FACTOR * self.round_trip_ms)
 
     def period_ms(self, health_score: int) -> float:
-        """Time between two pings: long enough for a direct answer and then for an indirect one."""
+        """Time between two pings: long enough for a direct ping and then for indirect ones."""
         slow_ms = min(
             PERIOD_FACTOR * TIMEOUT_FACTOR * self.round_trip_ms,
             MAX_PERIOD_FACTOR * self._config.ping_period_ms,
@@ -76,7 +76,7 @@
         return sequence
 
     def on_ack(self, sequence: int, now_ms: float) -> bool:
-        """Measures an answer; returns whether it ends the pending ping."""
+        """Measures the round-trip time of an ack; returns whether the ack is for the pending ping."""
         sent_ms = self._sent_ms.pop(sequence, None)
         if sent_ms is not None:
             self._measure(now_ms - sent_ms)
@@ -86,14 +86,14 @@
         return True
 
     def on_nack(self, sequence: int) -> None:
-        """Counts a helper that has heard nothing from the pending ping's target."""
+        """Counts a helper that has received no ack from the pending ping's target."""
         if self.pending is not None and self.pending.sequence == sequence:
             self.pending.nack_count += 1
 
     def start_indirect(self, requester: Address, requester_sequence: int, now_ms: float) -> int:
-        """Notes a ping on behalf of another member; returns its sequence number.
+        """Registers a ping on behalf of another member; returns its sequence number.
 
-        Above `max_members` of them the ping is sent, and its answer is not passed on.
+        If `max_members` such pings are pending already, the ping is sent, but its ack is not forwarded.
         """
         sequence = self._next_sequence(now_ms)
         if len(self._indirect) < self._config.max_members:
@@ -106,20 +106,20 @@
         return self._indirect.pop(sequence, None)
 
     def take_overdue_indirect(self, now_ms: float) -> list[IndirectPing]:
-        """Removes and returns the indirect pings that were not answered in time."""
+        """Removes and returns the indirect pings that have timed out."""
         overdue = [sequence for sequence, ping in self._indirect.items() if now_ms >= ping.due_ms]
         return [self._indirect.pop(sequence) for sequence in overdue]
 
     def due_times_ms(self, health_score: int) -> list[float]:
-        """When pings that are awaited now time out."""
+        """Times at which the pending and indirect pings time out."""
         times_ms = [ping.due_ms for ping in self._indirect.values()]
-        if self.pending is not None and not self.pending.has_asked_helpers:
+        if self.pending is not None and not self.pending.has_requested_indirect_pings:
             times_ms.append(self.pending.sent_ms + self.timeout_ms(health_score))
         return times_ms
 
     def shift(self, by_ms: float) -> None:
-        """Moves all times, after the local clock jumped or the process was stopped."""
-        self._sent_ms.clear()  # answers to these would measure the stop and not the path
+        """Shifts all stored times, after the local clock jumped or the process was stopped."""
+        self._sent_ms.clear()  # round-trip times of these pings would include the stop
         if self.pending is not None:
             self.pending.sent_ms += by_ms
         for ping in self._indirect.values():
--- a/gladewalk/members/probe_round.py
+++ b/gladewalk/members/probe_round.py
@@ -1,4 +1,4 @@
-"""Order in which members are pinged: round-robin, shuffled anew for each round (SWIM, section 4.3)."""
+"""Order in which members are pinged: round-robin, in a new random order each round (SWIM, section 4.3)."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class ProbeRound:
-    """Members not yet pinged in this round; a member is pinged at least once in two rounds' time."""
+    """Members not yet pinged in this round; each member is pinged at least once within two rounds."""
 
     def __init__(self, members: MemberList, rng: random.Random) -> None:
         self._members, self._rng = members, rng
-        self._names: list[str] = []  # taken from the end
+        self._names: list[str] = []  # the last name is pinged next
 
     def add(self, name: str) -> None:
-        """Inserts a new member at a random place of the current round."""
+        """Inserts a new member at a random position of the current round."""
         self._names.insert(self._rng.randrange(len(self._names) + 1), name)
 
     def next_target(self) -> Member | None:
-        """Returns the next live member, of a new round if this one is over; None if there is none."""
+        """Returns the next live member, from a new round if this one is over; None if there is none."""
         for _ in range(2):
             while self._names:
                 member = self._members.by_name.get(self._names.pop())
--- a/gladewalk/members/rejoin.py
+++ b/gladewalk/members/rejoin.py
@@ -1,4 +1,4 @@
-"""Contacts seeds and dead members again, so that a partition heals that both sides took for deaths."""
+"""Contacts seeds and dead members periodically, so that members that a partition separated rejoin."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from .context import ProtocolContext
 from .messages import MemberState
 
-ALONE_PERIODS = 2.0  # ping periods between two contacts while no other member is known
-SEED_PERIODS = 5.0  # while no member is thought dead
-MIN_DEAD_PERIODS = 2.0  # while some are; more in larger fleets, whose members share the work:
-MEMBERS_PER_PERIOD = 8.0
+ALONE_PERIODS = 2.0  # ping periods between two contacts while no other member is live
+SEED_PERIODS = 5.0  # ping periods between two contacts while no known member is dead
+MIN_DEAD_PERIODS = 2.0  # the least number of ping periods between two contacts while a known member is dead
+MEMBERS_PER_PERIOD = 8.0  # one period per this many live members, if that is more: they share the work
 
 
 class RejoinSchedule:
-    """Sends join requests to seeds that are no live members and to dead members, in turns.
+    """Sends join requests to seeds that are not live members, and to dead members.
 
-    Its own state is when it does so next. `seeds` may hold the local address.
+    The only state that it keeps itself is when it does so next. `seeds` may include the local address.
     """
 
     def __init__(self, context: ProtocolContext, seeds: tuple[Address, ...], now_ms: float) -> None:
@@ -23,7 +23,7 @@
         self.next_ms = now_ms
 
     def contact(self, now_ms: float) -> None:
-        """Contacts one missing seed (all of them while alone) and one dead member."""
+        """Contacts one missing seed (all of them while no member is live) and one dead member."""
         context = self._context
         dead = [
             member for member in context.members.departed.values() if member.update.state is MemberState.DEAD
@@ -34,12 +34,12 @@
         missing = [seed for seed in self._seeds if seed != own and not context.members.is_live_at(seed)]
         for seed in context.rng.sample(missing, min(len(missing), 1 if live_count else len(missing))):
             context.outbox.send(seed, context.messages.join())
-        if dead:  # the seeds may all be dead; the request carries what the member is to refute
+        if dead:  # the seeds may all be dead; the request carries the update that the member is to refute
             member = context.rng.choice(dead)
             context.outbox.send(member.address, context.messages.join_with(member.update))
 
     def shift(self, by_ms: float) -> None:
-        """Moves all times, after the local clock jumped or the process was stopped."""
+        """Shifts all stored times, after the local clock jumped or the process was stopped."""
         self.next_ms += by_ms
 
     @staticmethod
--- a/gladewalk/members/stream.py
+++ b/gladewalk/members/stream.py
@@ -2,8 +2,8 @@
 
     length (4, big endian)  authenticated message        as in `authenticator`, up to MAX_STREAM_MESSAGE_BYTES
 
-Each synchronization and each probe has a connection of its own. A peer that is out of the allowed networks,
-sends anything malformed or is too slow is counted and disconnected without an answer.
+Each synchronization and each probe uses a connection of its own. A peer that is outside the allowed networks,
+sends a malformed message or is too slow is counted and disconnected without a response.
 """
 
 from __future__ import annotations
@@ -31,37 +31,37 @@
 from .swim import Membership
 
 LENGTH_PREFIX = struct.Struct(">I")
-LISTEN_BACKLOG = 1_024  # probes of a paused process wait with the system: as many as all members send
-EXCHANGE_SECONDS = 2.0  # for all of one synchronization, and for an answer to a probe
-MAX_SYNCS_SERVED = 16  # at a time: bounds memory and descriptors
-MAX_CONNECTIONS_SERVED = 64  # at a time: above `MAX_SYNCS_SERVED` only probes are answered
+LISTEN_BACKLOG = 1_024  # room for the probes of all other members while the process is paused
+STREAM_TIMEOUT_SECONDS = 2.0  # for a whole synchronization, and for receiving and answering a probe
+MAX_SYNCS_SERVED = 16  # at the same time: limits memory and file descriptors
+MAX_CONNECTIONS_SERVED = 64  # at the same time: above `MAX_SYNCS_SERVED`, only probes get a response
 
 
 class StreamOwner(Protocol):
-    """What `StreamTransport` needs of the transport that it is a part of."""
+    """The methods and attributes that `StreamTransport` uses of the transport that owns it."""
 
     core: Membership
     clock: Callable[[], float]
     counters: Counters
 
     def is_allowed(self, host: str) -> bool:
-        """Whether anything from this host is read."""
+        """Whether data from this host is accepted."""
 
     def reachable_address(self, address: Address) -> Address:
-        """Address to connect to in place of the one that a member announces."""
+        """Address to connect to for a member that announces this address."""
 
     def sign(self, message: bytes, max_bytes: int) -> bytes:
         """Authenticates a message and counts it as sent."""
 
     def verify(self, data: bytes, max_bytes: int) -> bytes | DropReason:
-        """Returns the message, or why it is to be dropped."""
+        """Returns the message, or the reason to drop it."""
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Carries out what the protocol asks for."""
+        """Carries out the actions that the protocol returned."""
 
 
 class StreamTransport:
-    """Listener for the streams of others, and the streams that the local member opens."""
+    """Serves the streams of other members, and opens those of the local member."""
 
     def __init__(self, owner: StreamOwner) -> None:
         self._owner = owner
@@ -72,18 +72,18 @@
 
     @property
     def is_syncing(self) -> bool:
-        """Whether a synchronization that the local member started is under way."""
+        """Whether a synchronization that the local member started is in progress."""
         return bool(self._syncs)
 
     async def listen(self, host: str, port: int) -> int:
-        """Listens; returns the port, which the system chooses for 0."""
+        """Starts to listen; returns the port, which the operating system chooses if `port` is 0."""
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=MAX_STREAM_MESSAGE_BYTES, backlog=LISTEN_BACKLOG
         )
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Stops listening, cancels what is under way and closes all connections."""
+        """Stops listening, cancels all synchronizations and probes, and closes all connections."""
         if self._server is not None:
             self._server.close()
         for task in (*self._syncs.values(), *self._probes):
@@ -92,7 +92,7 @@
             writer.close()
 
     def start_sync(self, peer: Address) -> None:
-        """Starts a synchronization, unless one with this peer is under way."""
+        """Starts a synchronization, unless one with this peer is in progress."""
         if peer not in self._syncs:
             task = asyncio.get_running_loop().create_task(self._sync(peer))
             self._syncs[peer] = task
@@ -111,7 +111,7 @@
         owner.carry_out(owner.core.on_probe_outcome(probe.name, probe.run_id, outcome, owner.clock()))
 
     async def _probe(self, probe: StartConfirmationProbe) -> ProbeOutcome:
-        """Finds out who answers at a suspect's port: its process, its system alone, or nobody."""
+        """Finds out whether a suspect's process responds, or only its host, or neither."""
         owner, outcome = self._owner, ProbeOutcome.UNREACHABLE
         try:
             async with (
@@ -123,22 +123,22 @@
             ):
                 outcome = ProbeOutcome.UNRESPONSIVE
                 self._write(writer, probe.message)
-                answer = await self._read(reader)
-                if isinstance(answer, ConfirmationAck):
-                    owner.carry_out(owner.core.receive_streamed(answer, owner.clock()))
+                response = await self._read(reader)
+                if isinstance(response, ConfirmationAck):
+                    owner.carry_out(owner.core.receive_streamed(response, owner.clock()))
                     outcome = ProbeOutcome.RESPONDED
         except TimeoutError:
-            pass  # silent if the connection came about, unreachable if not
+            pass  # unresponsive if the connection was established, otherwise unreachable
         except (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, asyncio.IncompleteReadError):
             outcome = ProbeOutcome.REFUSED
-        except (OSError, PeerDroppedError):  # no route, or another program listens there
+        except (OSError, PeerDroppedError):  # no route, or another program listens at the port
             outcome = ProbeOutcome.UNREACHABLE
         return outcome
 
     async def _sync(self, peer: Address) -> None:
         owner = self._owner
         try:
-            async with asyncio.timeout(EXCHANGE_SECONDS), self._connected(peer) as (reader, writer):
+            async with asyncio.timeout(STREAM_TIMEOUT_SECONDS), self._connected(peer) as (reader, writer):
                 self._write(writer, owner.core.sync_request())
                 response = await self._read(reader)
                 reply, actions = owner.core.on_sync_response(response, owner.clock())
@@ -157,14 +157,14 @@
         counters = self._owner.counters
         try:
             self._admit(writer)
-            async with asyncio.timeout(EXCHANGE_SECONDS):
+            async with asyncio.timeout(STREAM_TIMEOUT_SECONDS):
                 request = await self._read(reader)
                 if not self._owner.core.is_active:
                     return
                 if isinstance(request, ConfirmationProbe):
-                    self._answer_probe(request, writer)
+                    self._respond_to_probe(request, writer)
                     return
-                await self._answer_sync(request, reader, writer)
+                await self._respond_to_sync(request, reader, writer)
             counters.add("members.exchanges_asked")
         except PeerDroppedError as error:
             counters.add(error.counter)
@@ -181,12 +181,12 @@
             raise PeerDroppedError("crowded")
         self._served.add(writer)
 
-    def _answer_probe(self, probe: ConfirmationProbe, writer: asyncio.StreamWriter) -> None:
+    def _respond_to_probe(self, probe: ConfirmationProbe, writer: asyncio.StreamWriter) -> None:
         ack, actions = self._owner.core.on_confirmation_probe(probe, self._owner.clock())
         self._write(writer, ack)
         self._owner.carry_out(actions)
 
-    async def _answer_sync(
+    async def _respond_to_sync(
         self, request: StreamMessage, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         owner = self._owner
@@ -218,7 +218,7 @@
         writer.write(LENGTH_PREFIX.pack(len(signed)) + signed)
 
     async def _read(self, reader: asyncio.StreamReader) -> StreamMessage:
-        """Reads one message; raises `PeerDroppedError` for one that is not to be accepted."""
+        """Reads one message; raises `PeerDroppedError` if it is not accepted."""
         (length,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
         if length > MAX_STREAM_MESSAGE_BYTES:
             raise PeerDroppedError(DropReason.OVERSIZED.value)
--- a/gladewalk/members/suspicion.py
+++ b/gladewalk/members/suspicion.py
@@ -1,16 +1,17 @@
-"""Rules of a suspicion: how long it lasts, and what follows once it has expired. Pure functions.
+"""Rules of a suspicion: how long it lasts, and what to do once it has expired. Pure functions.
 
-A missing answer has four causes that call for different decisions, and datagrams alone can't tell them apart.
-Whoever suspects a member therefore sends a confirmation probe to its stream port, where the member's system
-answers even if its process does not:
+A missing ack has four possible causes that require different decisions, and that can't be distinguished by
+datagrams alone. A member that suspects another therefore sends a confirmation probe to its stream port, where
+the suspect's operating system accepts the connection even if its process does not respond:
 
-    responded     its datagrams are lost; it learns of the suspicion and refutes it
-    refused       no process listens there: dead once the minimum duration of a suspicion is over
-    silent        connected and no answer: the process is paused or stalled. It stays a member for
+    responded     its datagrams are lost; the probe notifies it of the suspicion, which it refutes
+    refused       no process listens there: it is dead after the minimum duration of a suspicion
+    unresponsive  connected, but no response: the process is paused or stalled. It stays a member for
                   `max_stall_ms`; its periodic tasks move to others once a suspicion would have expired
-    unreachable   partitioned or down: dead when the suspicion expires
+    unreachable   partitioned or down: it is dead when the suspicion expires
 
-A member that was heard since it was suspected is not declared dead but notified, so that it can refute.
+A member from which a message was received since it was suspected is not declared dead, but notified of the
+suspicion, so that it can refute it.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from .config import MembershipConfig
 from .member_list import Member
 
-MAX_MEMBERS_ALL_PROBE = 64  # in larger fleets only members whose own pings failed probe a suspect
-STALL_REPROBE_MS = 2_000.0  # a stalled member may be killed meanwhile
-RETRY_MS = 50.0  # until a decision that waits for a probe is looked at again
-HEALTH_FACTOR = 0.15  # per point of the health score: how much longer an unconfirmed suspicion lasts
-ROUND_TRIPS = 3.0  # a suspicion lasts for at least so many round trips, so that it can be refuted
+MAX_MEMBERS_ALL_PROBE = 64  # in larger fleets, only members whose own pings failed probe a suspect
+STALL_REPROBE_MS = 2_000.0  # time between probes of a stalled member, which may be killed meanwhile
+RETRY_MS = 50.0  # time until a decision that waits for a probe is made again
+HEALTH_FACTOR = 0.15  # part by which each point of the health score extends an unconfirmed suspicion
+ROUND_TRIPS = 3.0  # a suspicion lasts for at least this many round trips, so that it can be refuted
 
 
 class SuspicionDecision(Enum):
-    """What to do about an expired suspicion."""
+    """How to handle an expired suspicion."""
 
     WAIT = auto()
-    NOTIFY = auto()  # the member was heard: tell it of the suspicion
+    NOTIFY = auto()  # a message was received from the member: notify it of the suspicion
     PROBE = auto()  # send a confirmation probe and wait for its outcome
     STALLED = auto()
     DEAD = auto()
@@ -48,30 +49,31 @@
 def expiry_ms(
     member: Member, config: MembershipConfig, member_count: int, health_score: int, round_trip_ms: float
 ) -> float:
-    """When a suspicion expires: from the maximum down to the minimum as others confirm it.
+    """When a suspicion expires: after the maximum duration, reduced to the minimum as others confirm it.
 
-    Lifeguard's LHA-Suspicion. `member_count` includes the local member.
+    This is Lifeguard's LHA-Suspicion. `member_count` includes the local member.
     """
     shortest_ms = min_duration_ms(config, member_count, round_trip_ms)
     longest_ms = shortest_ms * config.max_suspicion_factor * (1.0 + HEALTH_FACTOR * health_score)
-    wanted = min(config.suspicion_confirmations, max(1, member_count - 2))
-    confirmed = math.log(max(1, len(member.suspectors))) / math.log(wanted + 1) if wanted else 1.0
+    needed = min(config.suspicion_confirmations, max(1, member_count - 2))
+    confirmed = math.log(max(1, len(member.suspectors))) / math.log(needed + 1) if needed else 1.0
     duration_ms = longest_ms - (longest_ms - shortest_ms) * min(1.0, confirmed)
     return member.state_since_ms + max(shortest_ms, duration_ms)
 
 
 def may_probe(member: Member, local_name: str, member_count: int) -> bool:
-    """Whether the local member probes a suspect: always in a small fleet, else if it raised the suspicion."""
+    """Whether the local member probes a suspect: always in a small fleet, otherwise if it is a suspector."""
     return member_count <= MAX_MEMBERS_ALL_PROBE or local_name in member.suspectors
 
 
 def accepts_death_report(
     member: Member, config: MembershipConfig, is_sender_unhealthy: bool, now_ms: float
 ) -> bool:
-    """Whether another's report that a member is dead is accepted; otherwise it counts as a suspicion.
+    """Whether another member's report of a death is accepted; otherwise it counts as a suspicion.
 
-    After a partition each side reports the other's members dead, which live. So a report is not accepted of a
-    member that was not suspected here before, or that was heard since: it is asked first.
+    After a partition, each side reports the live members of the other side as dead. A report is therefore not
+    accepted if the member was not suspect here before, or if a message was received from it since then. Such
+    a member is probed first.
     """
     if not member.is_suspect:
         return False
@@ -89,17 +91,19 @@
 def decide_expired_suspicion(
     member: Member, config: MembershipConfig, local_name: str, member_count: int, now_ms: float
 ) -> tuple[SuspicionDecision, float]:
-    """Decides on a suspicion that has expired; returns the decision and ms until it is looked at again."""
+    """Decides on an expired suspicion; returns the decision and the time in ms until the next one."""
     if member.last_received_ms > member.state_since_ms:
         return SuspicionDecision.NOTIFY, config.min_suspicion_ms
     if member.is_probe_pending:
         return SuspicionDecision.WAIT, RETRY_MS
-    stall_left_ms = member.state_since_ms + config.max_stall_ms - now_ms
-    if member.probe_outcome is ProbeOutcome.UNRESPONSIVE and stall_left_ms > 0.0:
-        return SuspicionDecision.STALLED, min(stall_left_ms, STALL_REPROBE_MS)
+    stall_remaining_ms = member.state_since_ms + config.max_stall_ms - now_ms
+    if member.probe_outcome is ProbeOutcome.UNRESPONSIVE and stall_remaining_ms > 0.0:
+        return SuspicionDecision.STALLED, min(stall_remaining_ms, STALL_REPROBE_MS)
     if member.probe_outcome is None:
         if member.is_death_disputed or may_probe(member, local_name, member_count):
             return SuspicionDecision.PROBE, RETRY_MS
-        if stall_left_ms > 0.0:  # its suspectors probe it; should they die, it is declared dead in the end
-            return SuspicionDecision.WAIT, stall_left_ms
+        if (
+            stall_remaining_ms > 0.0
+        ):  # its suspectors probe it; if they die, it is declared dead after this time
+            return SuspicionDecision.WAIT, stall_remaining_ms
     return SuspicionDecision.DEAD, 0.0
--- a/gladewalk/members/suspicion_monitor.py
+++ b/gladewalk/members/suspicion_monitor.py
@@ -1,4 +1,4 @@
-"""Follows suspicions from the first suspector to their refutation or their expiry."""
+"""Tracks suspicions from the first suspector until they are refuted or expire."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class SuspicionMonitor:
-    """Writes the suspicion fields of `Member`: suspectors, expiry, probes, notifications.
+    """Sets the suspicion fields of `Member`: suspectors, expiry, probes, notifications.
 
-    Declares nobody dead itself: `resolve_expired` tells its caller to.
+    It declares no member dead itself: `resolve_expired` returns to its caller whether to do so.
     """
 
     def __init__(self, context: ProtocolContext, now_ms: float) -> None:
@@ -26,7 +26,7 @@
         self.next_notification_ms = now_ms
 
     def add_suspector(self, member: Member, update: MemberUpdate, now_ms: float) -> None:
-        """Notes who suspects a member: the suspicion expires sooner, and the member is probed."""
+        """Adds a suspector of a member, so that the suspicion expires sooner; probes the member."""
         context = self._context
         member.suspectors.add(update.suspected_by)
         member.suspicion_ends_ms = expiry_ms(
@@ -42,7 +42,7 @@
     def confirm(
         self, member: Member, update: MemberUpdate, now_ms: float, is_sender_unhealthy: bool = False
     ) -> bool:
-        """Returns whether the update repeats an open suspicion; a new suspector confirms it (Lifeguard)."""
+        """Returns whether the update repeats the current suspicion, which a new suspector confirms."""
         is_same = member.is_suspect and member.update.incarnation == update.incarnation
         is_new = (
             update.suspected_by not in member.suspectors
@@ -54,7 +54,7 @@
         return is_same
 
     def probe(self, member: Member, now_ms: float, timeout_ms: float | None = None) -> None:
-        """Starts a confirmation probe, unless one is pending or others are to probe this suspect."""
+        """Starts a confirmation probe, unless one is pending or only others are to probe this suspect."""
         context = self._context
         is_allowed = member.is_death_disputed or may_probe(member, context.local.name, context.member_count)
         if member.is_probe_pending or not is_allowed:
@@ -70,7 +70,7 @@
         )
 
     def on_probe_outcome(self, name: str, run_id: int, outcome: ProbeOutcome, now_ms: float) -> None:
-        """Notes the outcome of a confirmation probe of this run of a member."""
+        """Records the outcome of a confirmation probe of this run of a member."""
         member = self._context.members.by_name.get(name)
         if member is None:
             return
@@ -87,7 +87,7 @@
             member.suspicion_ends_ms = min(member.suspicion_ends_ms, member.state_since_ms + duration_ms)
 
     def notify(self, member: Member, now_ms: float) -> None:
-        """Tells a member what is said of it, so that it can refute."""
+        """Notifies a member that it is suspected or reported dead, so that it can refute this."""
         member.last_notified_ms = now_ms
         self._context.outbox.send(member.address, self._context.messages.notification(member))
 
@@ -96,9 +96,10 @@
         return now_ms < member.last_notified_ms + self._context.config.ping_period_ms
 
     def notify_suspected_here(self, now_ms: float) -> None:
-        """Notifies, once a ping period, every member that the local member itself suspects.
+        """Notifies every member that the local member itself suspects; due once a ping period.
 
-        The period is the configured one however bad the local health is: a refutation must come in time.
+        The period is the configured one even if the local health is bad: a refutation must arrive before the
+        suspicion expires.
         """
         self.next_notification_ms = now_ms + self._context.config.ping_period_ms
         for member in self._context.members.suspects.values():
@@ -106,21 +107,24 @@
                 self.notify(member, now_ms)
 
     def expired(self, now_ms: float) -> list[Member]:
-        """Returns the suspects whose suspicion has expired, the grace of a busy host included."""
+        """Returns the suspects whose suspicion has expired, including the extension for a busy host."""
         latest_ms = now_ms - self._context.loop_delay.grace_ms(now_ms)
         suspects = self._context.members.suspects.values()
         return [member for member in suspects if latest_ms >= member.suspicion_ends_ms]
 
     def resolve_expired(self, member: Member, now_ms: float) -> bool:
-        """Acts on an expired suspicion; returns whether the member is to be declared dead now."""
+        """Handles an expired suspicion; returns whether the member is to be declared dead now."""
         context = self._context
-        decision, again_ms = decide_expired_suspicion(
+        decision, retry_ms = decide_expired_suspicion(
             member, context.config, context.local.name, context.member_count, now_ms
         )
-        member.suspicion_ends_ms = now_ms + again_ms
+        member.suspicion_ends_ms = now_ms + retry_ms
         match decision:
             case SuspicionDecision.NOTIFY:
-                member.state_since_ms, member.probe_outcome = now_ms, None  # evidence must be gathered anew
+                member.state_since_ms, member.probe_outcome = (
+                    now_ms,
+                    None,
+                )  # earlier evidence no longer counts
                 self.notify(member, now_ms)
                 self.probe(member, now_ms)
             case SuspicionDecision.PROBE:
@@ -136,25 +140,26 @@
         return False
 
     def consult_peers(self, suspect: Member, now_ms: float) -> None:
-        """Sends the suspicion to some members before a death is declared: who knows better corrects us.
+        """Sends the suspicion to some members before a death is declared; those with a refutation return it.
 
-        A refutation may have been lost: each member transmits it a few times only, to random members.
+        Gossip may not have delivered the refutation: each member transmits it only a few times, to random
+        members.
         """
         context = self._context
         suspect.has_consulted_peers = True
         for peer in self.helpers(suspect):
             context.outbox.send(peer.address, context.messages.single_update(suspect.update))
-        if suspect.probe_outcome is ProbeOutcome.UNREACHABLE:  # its path may have healed since the probe
+        if suspect.probe_outcome is ProbeOutcome.UNREACHABLE:  # it may be reachable again since the probe
             timeout_ms = context.pings.timeout_ms(0) + context.loop_delay.current_ms(now_ms)
             self.probe(suspect, now_ms, timeout_ms)
 
     def helpers(self, excluded: Member) -> list[Member]:
-        """Draws members that nobody suspects, as many as the configuration has for indirect pings."""
+        """Draws as many members that are not suspect as the configuration sets for indirect pings."""
         context = self._context
         return context.members.sample_alive(excluded, context.config.indirect_ping_members, context.rng)
 
     def shift(self, by_ms: float) -> None:
-        """Moves all times, after the local clock jumped or the process was stopped."""
+        """Shifts all stored times, after the local clock jumped or the process was stopped."""
         self.next_notification_ms += by_ms
 
     def _mark_stalled(self, member: Member) -> None:
--- a/gladewalk/members/sync.py
+++ b/gladewalk/members/sync.py
@@ -6,7 +6,7 @@
                                      <-  FullState(its state), otherwise
     FullState(its state)             ->
 
-Two members of the same state exchange two short messages, however many members there are.
+Two members with the same state exchange two short messages, independent of the number of members.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class StateSync:
-    """Builds the messages of a synchronization and schedules them. Its own state is that schedule."""
+    """Schedules synchronizations and builds their messages. Its only state is the schedule."""
 
     def __init__(self, context: ProtocolContext, now_ms: float) -> None:
         self._context = context
@@ -31,13 +31,13 @@
         self.last_started_ms = -math.inf
 
     def start(self, peer: Address, now_ms: float) -> None:
-        """Starts a synchronization with a peer; the next regular one is an interval from now."""
+        """Starts a synchronization with a peer; the next scheduled one follows about an interval later."""
         self._schedule_next(now_ms)
         self.last_started_ms = now_ms
         self._context.outbox.put(StartSync(peer))
 
     def start_with_random_member(self, now_ms: float) -> None:
-        """Starts a synchronization with a live member, if there is one."""
+        """Starts a synchronization with a random live member, if there is one."""
         addresses = [member.address for member in self._context.members.live()]
         if addresses:
             self.start(self._context.rng.choice(addresses), now_ms)
@@ -45,12 +45,12 @@
             self._schedule_next(now_ms)
 
     def digest(self) -> int:
-        """63-bit hash of all members and of who owns which task; results of tasks don't count."""
+        """63-bit hash of all members and all task ownership claims; results of tasks are not included."""
         context = self._context
         return context.members.digest ^ update_hash(context.local.update) ^ context.dissemination.digest
 
     def full_state(self) -> FullState:
-        """All that the local member knows."""
+        """All member updates and the latest event of each task, as known by the local member."""
         context, local = self._context, self._context.local
         updates = [local.update, *(member.update for member in context.members.by_name.values())]
         return FullState(
@@ -67,14 +67,14 @@
         return Digest(sender=local.name, run_id=local.run_id, digest=self.digest())
 
     def respond(self, request: Digest) -> FullState:
-        """Answer to the first message."""
+        """Response to the first message."""
         local = self._context.local
         if request.digest == self.digest():
             return FullState(sender=local.name, run_id=local.run_id, is_identical=True)
         return self.full_state()
 
     def shift(self, by_ms: float) -> None:
-        """Moves all times, after the local clock jumped or the process was stopped."""
+        """Shifts all stored times, after the local clock jumped or the process was stopped."""
         self.next_ms += by_ms
         self.last_started_ms += by_ms
 
--- a/gladewalk/members/transport.py
+++ b/gladewalk/members/transport.py
@@ -1,6 +1,6 @@
-"""Membership on sockets: datagrams and timers around `Membership`, which decides everything.
+"""Runs the membership protocol on a UDP socket and a timer; `Membership` makes all decisions.
 
-Streams are in `stream`.
+TCP streams are handled by `stream`.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 log = structlog.get_logger("gladewalk.members")
-MAX_PORT_ATTEMPTS = 16  # a port that the system chooses must be free for datagrams and for streams
+MAX_PORT_ATTEMPTS = 16  # a port chosen by the operating system for streams may be in use for datagrams
 NONCE_BITS = 64
 
 
 class MembershipTransport(asyncio.DatagramProtocol):
-    """One member's socket and timer.
+    """One member's datagram socket and timer.
 
     `on_member_change` is called with each change and the member's name, `on_event` with each user event of
-    another member. `translated_addresses` maps announced addresses to those at which members are reached.
+    another member. `translated_addresses` maps announced addresses to the addresses to send to.
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         self._random = random.SystemRandom()
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: DeadlineKey | None = None
-        self._is_binding = False  # what comes now would be heard before this member has its port
+        self._is_binding = False  # messages received meanwhile are dropped: the port is not final yet
 
     async def listen(self) -> None:
-        """Listens at one port for datagrams and streams; raises `OSError` if it is not to be had."""
+        """Starts to listen at one port for datagrams and streams; raises `OSError` if that is impossible."""
         host, port = self.core.local.host, self.core.local.port
         self._is_binding = True
         try:
@@ -103,7 +103,7 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the sockets without a word to the others."""
+        """Closes the sockets without announcing the departure."""
         self.deadlines.drop(self._timer)
         self.streams.close()
         if self._transport is not None:
@@ -116,7 +116,7 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Passes on an authentic message; counts and drops anything else."""
+        """Passes an authentic message to the protocol; counts and drops all other datagrams."""
         self.counters.add("members.datagrams")
         if not self.is_allowed(source[0]):
             self.counters.add("members.dropped.network")
@@ -133,20 +133,20 @@
         self.carry_out(self.core.receive(message, (source[0], source[1]), self.clock()))
 
     def error_received(self, error: Exception) -> None:
-        """Counts an ICMP error: the next ping finds out what it means."""
+        """Counts an ICMP error; whether the member has failed is decided by pings only."""
         self.counters.add("members.unreachable")
 
     # Interface to `StreamTransport`.
 
     def is_allowed(self, host: str) -> bool:
-        """Whether anything from this host is read now."""
+        """Whether data from this host is accepted now."""
         if self._is_binding:
             return False
         sender = ipaddress.ip_address(host)
         return any(sender in network for network in self.networks)
 
     def reachable_address(self, address: Address) -> Address:
-        """Address at which the member is reached that announces this one."""
+        """Address to send to for a member that announces this address."""
         return self.translated_addresses.get(address, address)
 
     def sign(self, message: bytes, max_bytes: int) -> bytes:
@@ -158,11 +158,11 @@
         return signed
 
     def verify(self, data: bytes, max_bytes: int) -> bytes | DropReason:
-        """Returns the message, or why it is to be dropped."""
+        """Returns the message, or the reason to drop it."""
         return self.authenticator.verify(data, self.clock(), max_bytes)
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Carries out what the protocol asks for, then sets the timer anew."""
+        """Carries out the actions that the protocol returned, then sets the timer again."""
         for action in actions:
             match action:
                 case SendDatagram(to, message):
@@ -186,7 +186,7 @@
         self._transport.sendto(self.sign(message, MAX_DATAGRAM_BYTES), self.reachable_address(to))
 
     def log_change(self, change: MemberChange, name: str) -> None:
-        """Writes a log event for a change, with the evidence for it."""
+        """Logs a change, with the suspectors, the probe outcome and the time since the last message."""
         local, member = self.core.local, self.core.members.by_name.get(name)
         if member is None:
             log.info(
--- a/tests/test_members_busy.py
+++ b/tests/test_members_busy.py
@@ -11,7 +11,7 @@
 from gladewalk.members.actions import ProbeOutcome, SendDatagram
 from gladewalk.members.config import MembershipConfig
 from gladewalk.members.history import unexpected_deaths
-from gladewalk.members.loop_delay import GRACE_FACTOR, HALF_LIFE_MS, MIN_DELAY_MS, READ_MS, LoopDelay
+from gladewalk.members.loop_delay import DEFERRAL_MS, GRACE_FACTOR, HALF_LIFE_MS, MIN_DELAY_MS, LoopDelay
 from gladewalk.members.messages import MemberState
 from gladewalk.rehearsal.member_faults import play
 from gladewalk.rehearsal.member_network import MemberNetwork, cluster
@@ -68,11 +68,11 @@
     victim.probe_outcome, victim.is_probe_pending = ProbeOutcome.UNREACHABLE, False
     victim.has_consulted_peers = True
     late_ms = victim.suspicion_ends_ms + 200.0
-    core.last_turn_ms = late_ms - 300.0  # too recent for a stop of the process
-    assert core.tick(late_ms) == [] and core.next_due_ms() == late_ms + READ_MS
+    core.last_observed_ms = late_ms - 300.0  # too recent for a stop of the process
+    assert core.tick(late_ms) == [] and core.next_due_ms() == late_ms + DEFERRAL_MS
     refutation = msgspec.structs.replace(victim.update, state=MemberState.ALIVE, incarnation=2**40)
     core.gossip.apply(refutation, late_ms + 1.0, "m2")
-    core.tick(late_ms + READ_MS)
+    core.tick(late_ms + DEFERRAL_MS)
     assert core.members.by_name["m1"].is_live
 
 
