--- a/gladewalk/duties/__init__.py
+++ b/gladewalk/duties/__init__.py
@@ -1,1 +1,4 @@
-"""Periodic tasks shared among directors: each has one owner among the live members (docs/duties.md)."""
+"""Periodic tasks that are shared among directors: each task has one owner among the live members.
+
+Design note: docs/duties.md.
+"""
--- a/gladewalk/duties/rate_limit.py
+++ b/gladewalk/duties/rate_limit.py
@@ -1,9 +1,10 @@
-"""Rate limit of all members' health checks together: a common stretch of intervals, and a token bucket.
+"""Rate limit for the health checks of all members together: longer intervals, and a token bucket.
 
-Where the limit binds, every interval is stretched alike, so that each server is still checked, only less
-often. All members list the same servers and have the same settings, so all compute the same stretch. The
-token bucket bounds the rest: a takeover, or a list that grows at once, never makes a burst of more than
-`BURST_SECONDS` worth. No I/O.
+If more checks are wanted than the limit allows, all intervals are multiplied by the same factor, the stretch.
+So each server is still checked, only less often. All members have the same servers and settings, and thus
+compute the same stretch. In addition, each member has a token bucket: after a takeover, or when many servers
+are added at once, a member sends at most as many checks in a burst as the limit allows in `BURST_SECONDS`. No
+I/O.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class HealthCheckRateLimit:
-    """Limits health checks to `per_second`, all members together; 0 stands for no limit."""
+    """Limits the health checks of all members together to `per_second`; 0 means no limit."""
 
     def __init__(self, per_second: float, now_ms: float) -> None:
         self.per_second = per_second
@@ -21,11 +22,11 @@
         self.tokens, self.refilled_at_ms = self.burst, now_ms
 
     def interval_stretch(self, wanted_per_second: float) -> float:
-        """Returns by how much intervals are longer than wanted; 1 where the limit does not bind."""
+        """Returns the factor by which intervals are longer than wanted; 1 if the limit is not exceeded."""
         return max(1.0, wanted_per_second / self.per_second) if self.per_second else 1.0
 
     def allowance(self, now_ms: float) -> int:
-        """Returns how many checks may be sent now; a clock that was set back neither adds nor removes any."""
+        """Returns how many checks may be sent now; if the clock was set back, the tokens stay unchanged."""
         if not self.per_second:
             return UNLIMITED
         elapsed_ms = max(0.0, now_ms - self.refilled_at_ms)
@@ -34,5 +35,5 @@
         return int(self.tokens)
 
     def spend(self, count: int) -> None:
-        """Takes the tokens of checks that are sent."""
+        """Removes one token for each check that is sent."""
         self.tokens -= count
--- a/gladewalk/duties/start.py
+++ b/gladewalk/duties/start.py
@@ -20,7 +20,7 @@
 from .runner import TaskRunner, TaskType
 from .task_types import CacheHealthCheck, SourceHealthCheck
 
-PING_TIMEOUT_PERIODS = 0.4  # of a protocol period
+PING_TIMEOUT_PERIODS = 0.4  # timeout of a direct ping, as a part of the ping period
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,11 +31,11 @@
     seeds: tuple[Address, ...]
     networks: tuple[Network, ...]
     authenticator: MessageAuthenticator
-    dial_addresses: dict[Address, Address]  # advertised -> dialled
+    dial_addresses: dict[Address, Address]  # advertised address -> address to connect to
 
 
 def read_member_settings(options: Options) -> MemberSettings:
-    """Returns the checked `[members]` table; raises `ConfigError` with the unusable key."""
+    """Returns the checked `[members]` table; raises `ConfigError` that names the invalid key."""
     table = options.members
     assert table is not None
     key = "listen"
@@ -67,7 +67,7 @@
 ) -> tuple[MembershipTransport, TaskRunner]:
     """Builds membership and shared tasks; `MembershipTransport.listen` and `TaskRunner.sweep` start them.
 
-    Raises `ConfigError` for a table or a key file that cannot be used.
+    Raises `ConfigError` if the table or the key file is invalid.
     """
     table, duties = options.members, options.duties
     assert table is not None
@@ -84,11 +84,11 @@
     members = MembershipTransport(
         core, settings.authenticator, settings.networks, clock, deadlines, counters, settings.dial_addresses
     )
-    tasks: list[TaskType] = []
+    task_types: list[TaskType] = []
     if duties.cache_check_interval_ms:
-        tasks.append(CacheHealthCheck(exchange, pool, duties.cache_check_interval_ms))
+        task_types.append(CacheHealthCheck(exchange, pool, duties.cache_check_interval_ms))
     if duties.source_check_interval_ms:
-        tasks.append(SourceHealthCheck(exchange, pool, duties.source_check_interval_ms))
+        task_types.append(SourceHealthCheck(exchange, pool, duties.source_check_interval_ms))
     max_age_ms, max_checks_per_s = duties.max_result_age_ms, duties.max_checks_per_s
-    runner = TaskRunner(members, tasks, clock, deadlines, counters, rng, max_age_ms, max_checks_per_s)
+    runner = TaskRunner(members, task_types, clock, deadlines, counters, rng, max_age_ms, max_checks_per_s)
     return members, runner
--- a/gladewalk/duties/status.py
+++ b/gladewalk/duties/status.py
@@ -1,4 +1,7 @@
-"""Members and their tasks as the control socket shows them; the JSON keys are part of its protocol."""
+"""Status of members and their tasks, as sent over the control socket. The JSON keys are part of its protocol.
+
+A field that has another JSON key than its name is listed in `rename`.
+"""
 
 from __future__ import annotations
 
@@ -23,15 +26,15 @@
     Attributes:
         name: The member's name.
         address: `HOST:PORT` that it announces.
-        state: `self`, `name taken`, or the state that the failure detector holds, in lower case.
+        state: `self`, `name taken`, or the member's state in the failure detector, in lower case.
         incarnation: Its latest incarnation number (Das et al., 2002).
-        run_id: Tells one run of its process from another.
-        weight: Its part of the tasks, relative to the other members.
-        since_heard_ms: Time since it was last heard of; 0 for the director itself.
-        task_count: Tasks that it owns, by the best claims known.
+        run_id: Identifies the run of its process.
+        weight: Its share of the tasks, relative to the other members.
+        since_heard_ms: Time since the last message from it was received; 0 for the director itself.
+        task_count: Number of tasks that it owns, by the best known claims.
         health_score: Its local health score (Lifeguard); 0 is healthy.
-        is_stalled: It was heard of, but for a long time does nothing.
-        probe_outcome: How the confirmation probe of a suspected member ended; None without one.
+        is_stalled: Its host accepts connections, but its process has stopped responding.
+        probe_outcome: Outcome of the last confirmation probe of a suspected member; None without one.
     """
 
     name: str
@@ -48,7 +51,7 @@
 
 
 class OwnedTaskStatus(msgspec.Struct, frozen=True, rename={"task": "duty", "due_in_ms": "due_ms"}):
-    """A task that the director owns: its type and target, the epoch of its claim, and when it is next due."""
+    """A task that the director owns: type and target, epoch of its claim, and time until it is due in ms."""
 
     task: str
     epoch: int
@@ -68,17 +71,17 @@
         "task_counts": "duties",
     },
 ):
-    """All that one director knows of the members and of the tasks divided among them.
+    """One director's view of the members and of the tasks that are divided among them.
 
     Attributes:
-        director: The director that answers.
-        is_active: False if another director runs under its name: it then takes no part.
+        director: The name of this director.
+        is_active: False if another director runs with its name; then it does not participate.
         health_score: Its own local health score.
-        interval_stretch: Factor on the tasks' intervals that the rate limit takes.
-        members: Sorted by name, the director itself among them.
+        interval_stretch: Factor by which the rate limit extends the intervals of all tasks.
+        members: Sorted by name, including the director itself.
         owned_tasks: Sorted by task.
         task_counts: Number of tasks by type.
-        counters: The director's counters of membership and tasks.
+        counters: The director's counters of membership and tasks, by name.
     """
 
     director: str
--- a/gladewalk/duties/task_types.py
+++ b/gladewalk/duties/task_types.py
@@ -1,4 +1,4 @@
-"""The types of shared tasks; a further one is a further class here, listed in `start.py`."""
+"""The types of shared tasks. To add a type, add a class here and list it in `start.py`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServerQueryTask:
-    """Sends servers of some roles a short request and passes each result to the decision module."""
+    """Sends a short request to each server of some roles and passes the results to the decision module."""
 
     kind = ""
     path = ""
@@ -31,12 +31,12 @@
         self.pool.probe(target, on_result, self.path)
 
     def record_result(self, result: api.HealthCheckResult) -> None:
-        """Passes a finding to the decision module."""
+        """Passes a result to the decision module."""
         self.exchange.handle_event(result)
 
 
 class CacheHealthCheck(ServerQueryTask):
-    """Asks every cache server for its load report, where the settings allow health checks."""
+    """Requests every cache server's load report, if the settings allow health checks."""
 
     kind, path, roles = "load", "/load", frozenset((api.Role.CACHE,))
 
@@ -46,6 +46,6 @@
 
 
 class SourceHealthCheck(ServerQueryTask):
-    """Checks whether parents and the origin answer."""
+    """Checks whether parents and the origin respond."""
 
     kind, path, roles = "alive", "/alive", frozenset((api.Role.PARENT, api.Role.ORIGIN))
--- a/gladewalk/duties/view.py
+++ b/gladewalk/duties/view.py
@@ -1,4 +1,4 @@
-"""What `gladewalk members` shows: this director's view of the members and of who owns which task."""
+"""The view that `gladewalk members` shows: the members and the owners of tasks, as known to this director."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _owner_counts(runner: TaskRunner) -> Counter[str]:
-    """Counts the tasks of each member, by the best claims that are known here."""
+    """Counts the tasks of each member, by the best known claims."""
     counts: Counter[str] = Counter()
     for shared in runner.task_types.values():
         counts.update(claim.owner for claim in shared.ownership.best_claims.values())
--- a/gladewalk/members/history.py
+++ b/gladewalk/members/history.py
@@ -62,10 +62,10 @@
         if event == START_EVENT:
             changes += [ObservedChange(at_ms, name, MemberChange.LEFT, other) for other in sorted(known)]
             known.clear()
-        elif (match := CHANGE_EVENT.match(event)) is not None:
+        elif (event_match := CHANGE_EVENT.match(event)) is not None:
             member = str(line["member"])
             known.add(member)
-            changes.append(ObservedChange(at_ms, name, MemberChange(match[1]), member))
+            changes.append(ObservedChange(at_ms, name, MemberChange(event_match[1]), member))
     return changes
 
 
--- a/gladewalk/members/stream.py
+++ b/gladewalk/members/stream.py
@@ -123,9 +123,9 @@
             ):
                 outcome = ProbeOutcome.UNRESPONSIVE
                 self._write(writer, probe.message)
-                response = await self._read(reader)
-                if isinstance(response, ConfirmationAck):
-                    owner.carry_out(owner.core.receive_streamed(response, owner.clock()))
+                probe_response = await self._read(reader)
+                if isinstance(probe_response, ConfirmationAck):
+                    owner.carry_out(owner.core.receive_streamed(probe_response, owner.clock()))
                     outcome = ProbeOutcome.RESPONDED
         except TimeoutError:
             pass  # unresponsive if the connection was established, otherwise unreachable
