--- a/gladewalk/duties/runner.py
+++ b/gladewalk/duties/runner.py
@@ -82,7 +82,7 @@
     def __init__(
         self,
         peers: Peers,
-        task_types: Iterable[TaskType],
+        configured_types: Iterable[TaskType],
         clock: Callable[[], float],
         scheduler: Scheduler,
         counters: Counters,
@@ -96,7 +96,7 @@
         name = peers.core.local.name
         self.task_types = {
             task_type.kind: SharedTaskType(task_type, Ownership(name, task_type.interval_ms, rng))
-            for task_type in task_types
+            for task_type in configured_types
         }
         peers.on_member_change, peers.on_event = self.handle_member_change, self.handle_event
         self.has_membership_changed = True  # since the last sweep, which handles all changes together
--- a/gladewalk/duties/start.py
+++ b/gladewalk/duties/start.py
@@ -84,11 +84,13 @@
     members = MembershipTransport(
         core, settings.authenticator, settings.networks, clock, deadlines, counters, settings.dial_addresses
     )
-    task_types: list[TaskType] = []
+    configured_types: list[TaskType] = []
     if duties.cache_check_interval_ms:
-        task_types.append(CacheHealthCheck(exchange, pool, duties.cache_check_interval_ms))
+        configured_types.append(CacheHealthCheck(exchange, pool, duties.cache_check_interval_ms))
     if duties.source_check_interval_ms:
-        task_types.append(SourceHealthCheck(exchange, pool, duties.source_check_interval_ms))
+        configured_types.append(SourceHealthCheck(exchange, pool, duties.source_check_interval_ms))
     max_age_ms, max_checks_per_s = duties.max_result_age_ms, duties.max_checks_per_s
-    runner = TaskRunner(members, task_types, clock, deadlines, counters, rng, max_age_ms, max_checks_per_s)
+    runner = TaskRunner(
+        members, configured_types, clock, deadlines, counters, rng, max_age_ms, max_checks_per_s
+    )
     return members, runner
