--- a/tests/membership_checks.py
+++ b/tests/membership_checks.py
@@ -1,11 +1,11 @@
-"""Checks of a simulated network of members that several tests share."""
+"""Assertions on a simulated network of members that several test files share."""
 
 from gladewalk.members.actions import MemberChange
 from gladewalk.rehearsal.member_network import MemberNetwork
 
 
-def settle(net: MemberNetwork, ms: float = 15_000.0) -> None:
-    """Lets so much virtual time pass; then all members agree on who is live."""
+def assert_converges(net: MemberNetwork, ms: float = 15_000.0) -> None:
+    """Runs the network for this virtual time and asserts that all members agree on which ones are live."""
     net.run(ms)
     assert net.has_converged(), {name: net.live_as_seen_by(name) for name in net.nodes}
 
--- a/tests/test_members_history.py
+++ b/tests/test_members_history.py
@@ -1,4 +1,4 @@
-"""The fault cases of membership in a simulated network, and the checker of their history."""
+"""The fault cases of membership in a simulated network, and the checks of membership histories."""
 
 import pytest
 
@@ -36,8 +36,8 @@
         assert convergence_time_ms(network.observed, begun_ms, names) is not None, seed
         if case.must_be_found_dead:
             victim = faults[0].targets[0]
-            found = detection_times_ms(network.observed, victim, begun_ms, set(names) - {victim})
-            assert len(found) == size - 1, (seed, found)
+            times_ms = detection_times_ms(network.observed, victim, begun_ms, set(names) - {victim})
+            assert len(times_ms) == size - 1, (seed, times_ms)
 
 
 def joined_each_other(names: str) -> list[ObservedChange]:
@@ -50,35 +50,35 @@
 
 
 DEATH = ObservedChange(5_000.0, "a", MemberChange.DIED, "b")
-LATE_DEATH = ObservedChange(6_001.0, "c", MemberChange.DIED, "b")
+LATER_DEATH = ObservedChange(6_001.0, "c", MemberChange.DIED, "b")
 
 
-def test_the_checker_finds_unexpected_and_late_deaths() -> None:
+def test_deaths_that_are_not_expected_or_come_too_late_are_found() -> None:
     expected = ExpectedFailure(4_000.0, 6_000.0, frozenset("ac"), frozenset("b"))
     assert unexpected_deaths([*joined_each_other("abc"), DEATH], []) == [DEATH]
     assert unexpected_deaths([DEATH], [expected]) == []
-    assert unexpected_deaths([DEATH, LATE_DEATH], [expected]) == [LATE_DEATH]
+    assert unexpected_deaths([DEATH, LATER_DEATH], [expected]) == [LATER_DEATH]
 
 
-def test_the_checker_measures_detection() -> None:
-    assert detection_times_ms([DEATH, LATE_DEATH], "b", 4_500.0, "ac") == {"a": 500.0, "c": 1_501.0}
+def test_detection_times_are_measured_for_each_observer() -> None:
+    assert detection_times_ms([DEATH, LATER_DEATH], "b", 4_500.0, "ac") == {"a": 500.0, "c": 1_501.0}
 
 
-def test_the_checker_finds_members_that_never_converge() -> None:
+def test_the_convergence_time_is_none_for_members_that_never_converge() -> None:
     joined = joined_each_other("abc")
     assert convergence_time_ms(joined, 0.0, "abc") == 0.0
     assert convergence_time_ms(joined[:-1], 0.0, "abc") is None
-    assert convergence_time_ms([*joined, DEATH, LATE_DEATH], 4_000.0, "abc") is None
+    assert convergence_time_ms([*joined, DEATH, LATER_DEATH], 4_000.0, "abc") is None
     rejoined = [
         ObservedChange(7_000.0, "a", MemberChange.JOINED, "b"),
         ObservedChange(8_000.0, "c", MemberChange.JOINED, "b"),
     ]
-    assert convergence_time_ms([*joined, DEATH, LATE_DEATH, *rejoined], 7_500.0, "abc") == 500.0
-    suspected = ObservedChange(9.0, "a", MemberChange.SUSPECTED, "b")  # and is a member still
+    assert convergence_time_ms([*joined, DEATH, LATER_DEATH, *rejoined], 7_500.0, "abc") == 500.0
+    suspected = ObservedChange(9.0, "a", MemberChange.SUSPECTED, "b")  # a suspect still is a member
     assert convergence_time_ms([*joined, suspected], 0.0, "abc") == 0.0
 
 
-def test_a_start_in_a_log_forgets_what_the_run_before_knew() -> None:
+def test_a_start_in_a_log_counts_as_the_departure_of_all_members_of_the_previous_run() -> None:
     def line(second: int, event: str, member: str = "") -> dict[str, str]:
         timestamp = f"2026-01-01T00:00:{second:02}.000000Z"
         return {"timestamp": timestamp, "event": event, "by": "a", "member": member}
--- a/tests/test_members_lifecycle.py
+++ b/tests/test_members_lifecycle.py
@@ -1,25 +1,25 @@
-"""Members join, leave, restart, are partitioned and disagree on clocks and names, in a simulated network."""
+"""Joins, departures, restarts, partitions, wrong clocks and name conflicts in a simulated network."""
 
 import random
 
 from gladewalk.members.actions import MemberChange
 from gladewalk.members.authenticator import DropReason
 from gladewalk.rehearsal.member_network import MemberNetwork, MemberNode, cluster
-from tests.membership_checks import assert_no_deaths, settle
+from tests.membership_checks import assert_converges, assert_no_deaths
 
 
-def test_a_departure_is_no_failure() -> None:
+def test_a_departure_is_reported_as_such_and_not_as_a_death() -> None:
     net = cluster(5, 3)
     node = net.nodes["m3"]
     net.carry_out(node, node.core.leave())
     net.kill("m3")
     net.run(1_000.0)
     assert len(net.changes(MemberChange.LEFT, "m3")) == 4
-    settle(net)
+    assert_converges(net)
     assert_no_deaths(net)
 
 
-def test_a_partition_of_2_and_3_converges_within_five_periods_of_its_end() -> None:
+def test_members_partitioned_into_2_and_3_converge_within_five_ping_periods_of_its_end() -> None:
     for seed in range(30):
         net = cluster(5, seed)
         net.is_blocked = lambda source, target: (source in ("m0", "m1")) != (target in ("m0", "m1"))
@@ -36,7 +36,7 @@
         assert wrong == []
 
 
-def test_a_partition_of_2_and_2_heals() -> None:
+def test_members_partitioned_into_2_and_2_converge_after_its_end() -> None:
     for seed in range(10):
         net = cluster(4, seed)
         sides = {"m0": 0, "m2": 0, "m1": 1, "m3": 1}
@@ -45,10 +45,10 @@
         assert net.live_as_seen_by("m0") == {"m2"}
         assert net.live_as_seen_by("m3") == {"m1"}
         net.is_blocked = lambda source, target: False
-        settle(net)
+        assert_converges(net)
 
 
-def test_a_partition_heals_though_all_seeds_have_died_meanwhile() -> None:
+def test_partitioned_members_rejoin_even_if_all_seeds_have_died_meanwhile() -> None:
     for seed in range(10):
         net = cluster(4, seed)
         net.is_blocked = lambda source, target: "m3" in (source, target)
@@ -57,81 +57,85 @@
         net.run(10_000.0)
         assert net.live_as_seen_by("m3") | net.live_as_seen_by("m2") == set()
         net.is_blocked = lambda source, target: False
-        settle(net)
+        assert_converges(net)
 
 
 def test_a_rolling_restart_converges() -> None:
     net = cluster(4, 5)
     for number in range(4):
         net.kill(f"m{number}")
-        net.run(300.0)  # before anybody has found it dead: its new run must not be taken for the old one
+        net.run(
+            300.0
+        )  # no member has declared it dead yet, and its new run must not be taken for the old one
         net.start(f"m{number}", ("m0", "m1"))
         net.run(3_000.0)
-    settle(net)
+    assert_converges(net)
 
 
-def test_a_member_that_joins_and_dies_within_a_second_is_forgotten() -> None:
+def test_a_member_that_joins_and_dies_within_a_second_is_no_longer_live() -> None:
     net = cluster(4, 6)
     net.start("m4", ("m0",))
     net.run(700.0)
     net.kill("m4")
-    settle(net)
+    assert_converges(net)
     assert net.live_as_seen_by("m2") == {"m0", "m1", "m3"}
 
 
-def test_a_clock_that_jumps_within_the_window_causes_no_deaths() -> None:
-    for jump in (-10_000.0, 10_000.0):
+def test_a_clock_that_jumps_within_the_accepted_window_causes_no_deaths() -> None:
+    for jump_ms in (-10_000.0, 10_000.0):
         net = cluster(4, 7)
-        net.nodes["m1"].clock_offset_ms = jump
-        settle(net, 20_000.0)
+        net.nodes["m1"].clock_offset_ms = jump_ms
+        assert_converges(net, 20_000.0)
         assert_no_deaths(net)
 
 
-def test_a_clock_beyond_the_window_isolates_its_member_until_it_is_set_right() -> None:
+def test_a_member_whose_clock_is_outside_the_accepted_window_is_isolated_until_its_clock_is_corrected() -> (
+    None
+):
     net = cluster(4, 8)
     net.nodes["m1"].clock_offset_ms = 3_600_000.0
     net.run(10_000.0)
     assert "m1" not in net.live_as_seen_by("m0")
     assert net.dropped[DropReason.STALE] > 0
     net.nodes["m1"].clock_offset_ms = 0.0
-    settle(net, 30_000.0)
+    assert_converges(net, 30_000.0)
 
 
-def start_twin(net: MemberNetwork, name: str) -> MemberNode:
-    """Another member under a name that is in use, at another address."""
+def start_duplicate(net: MemberNetwork, name: str) -> MemberNode:
+    """Starts another member with a name that is in use, at another address."""
     first = net.nodes.pop(name)
-    twin = net.start(name, ("m0",), port=8_888)
-    net.nodes[name], net.nodes["twin"] = first, twin
-    return twin
+    duplicate = net.start(name, ("m0",), port=8_888)
+    net.nodes[name], net.nodes["duplicate"] = first, duplicate
+    return duplicate
 
 
-def test_of_two_processes_of_one_name_the_first_keeps_it() -> None:
+def test_of_two_processes_with_the_same_name_the_first_keeps_it() -> None:
     net = cluster(4, 9)
     second = net.start("m2", ("m0", "m1"))
-    assert net.nodes["m2"] is second  # it stands at the same address: a restart
+    assert net.nodes["m2"] is second  # at the same address, this is a restart
     net.run(5_000.0)
-    other = MemberNetwork.start(net, "m9", ("m0",), port=7_777)
+    first = MemberNetwork.start(net, "m9", ("m0",), port=7_777)
     net.run(3_000.0)
-    twin = start_twin(net, "m9")
+    duplicate = start_duplicate(net, "m9")
     net.run(10_000.0)
-    assert (other.core.is_active, twin.core.is_active) == (True, False)
-    assert [seen.change for seen in net.changes(MemberChange.NAME_TAKEN)] == [MemberChange.NAME_TAKEN]
-    assert net.nodes["m0"].core.members.by_name["m9"].address == other.address
+    assert (first.core.is_active, duplicate.core.is_active) == (True, False)
+    assert [observed.change for observed in net.changes(MemberChange.NAME_TAKEN)] == [MemberChange.NAME_TAKEN]
+    assert net.nodes["m0"].core.members.by_name["m9"].address == first.address
 
 
-def test_two_runs_of_a_seed_are_the_same() -> None:
-    def story(seed: int) -> list[str]:
+def test_two_simulations_with_the_same_seed_are_the_same() -> None:
+    def simulate(seed: int) -> list[str]:
         net = cluster(6, seed)
         net.loss_rate = 0.2
         net.kill("m1")
         net.run(10_000.0)
         return [*map(repr, net.observed), repr(net.sent_bytes)]
 
-    assert story(5) == story(5)
-    assert story(5) != story(6)
+    assert simulate(5) == simulate(5)
+    assert simulate(5) != simulate(6)
 
 
-def play_schedule(seed: int) -> MemberNetwork:
+def run_random_faults(seed: int) -> MemberNetwork:
     draw = random.Random(seed)
     net = cluster(draw.choice((3, 4, 5)), seed, settle_ms=2_000.0)
     names = list(net.nodes)
@@ -147,9 +151,9 @@
             case 3:
                 net.loss_rate = draw.choice((0.0, 0.1, 0.3))
             case 4:
-                one_way = draw.random() < 0.5
-                net.is_blocked = lambda source, target, name=name, one_way=one_way: (  # type: ignore[misc]
-                    source == name or (target == name and not one_way)
+                is_one_way = draw.random() < 0.5
+                net.is_blocked = lambda source, target, name=name, is_one_way=is_one_way: (  # type: ignore[misc]
+                    source == name or (target == name and not is_one_way)
                 )
             case 5:
                 net.is_blocked = lambda source, target: False
@@ -161,7 +165,7 @@
     return net
 
 
-def test_any_schedule_of_faults_converges() -> None:
+def test_members_converge_after_random_faults() -> None:
     for seed in range(150):
-        net = play_schedule(seed)
+        net = run_random_faults(seed)
         assert net.has_converged(), (seed, {name: net.live_as_seen_by(name) for name in net.nodes})
--- a/tests/test_members_transport.py
+++ b/tests/test_members_transport.py
@@ -1,4 +1,4 @@
-"""Members on loopback sockets: datagrams, streams, counters and what strangers get."""
+"""Members on loopback sockets: datagrams, streams, counters, and rejected messages of unauthorized hosts."""
 
 import asyncio
 import ipaddress
@@ -32,7 +32,7 @@
         await members.listen()
         return members
 
-    async def test_members_meet_share_events_and_see_a_departure_and_a_death(self) -> None:
+    async def test_members_join_share_events_and_detect_a_departure_and_a_death(self) -> None:
         first = await self.start("a", ())
         seeds = (("127.0.0.1", first.core.local.port),)
         second, third = await self.start("b", seeds), await self.start("c", seeds)
@@ -51,45 +51,45 @@
         )
         assert first.counters["members.left"] == 1
         assert third._transport is not None
-        third.close()  # without a word
+        third.close()  # without announcing its departure
         await wait_until(lambda: first.core.live_weights() == {"a": 1.0})
         assert first.counters["members.died"] == 1
         first.leave()
 
-    async def test_nobody_is_heard_before_a_member_has_its_port(self) -> None:
-        """What is logged of a member before its own start would be taken for the run before."""
+    async def test_no_message_is_accepted_before_a_member_has_bound_its_port(self) -> None:
+        """Changes logged before the member's start event would be attributed to its previous run."""
         member = await self.start("a", ())
-        heard_while_binding: list[bool] = []
+        allowed_while_binding: list[bool] = []
         member.close()
         bind = member._bind
 
-        async def bind_and_ask(host: str, port: int) -> int:
+        async def bind_and_check(host: str, port: int) -> int:
             bound_port = await bind(host, 0)
-            heard_while_binding.append(member.is_allowed("127.0.0.1"))
+            allowed_while_binding.append(member.is_allowed("127.0.0.1"))
             return bound_port
 
-        member._bind = bind_and_ask  # type: ignore[method-assign]
+        member._bind = bind_and_check  # type: ignore[method-assign]
         await member.listen()
-        assert (heard_while_binding, member.is_allowed("127.0.0.1")) == ([False], True)
+        assert (allowed_while_binding, member.is_allowed("127.0.0.1")) == ([False], True)
         member.close()
 
-    async def test_strangers_without_a_key_or_from_another_network_get_no_answer(self) -> None:
+    async def test_members_without_a_known_key_or_from_another_network_get_no_response(self) -> None:
         member = await self.start("a", ())
-        stranger = await self.start("b", (("127.0.0.1", member.core.local.port),), key=b"x" * 32)
+        unauthorized = await self.start("b", (("127.0.0.1", member.core.local.port),), key=b"x" * 32)
         await wait_until(lambda: member.counters["members.dropped.unknown_key"] > 0)
         member.networks = (ipaddress.ip_network("10.0.0.0/8"),)
         await wait_until(lambda: member.counters["members.dropped.network"] > 0)
-        assert stranger.counters["members.datagrams"] == 0
+        assert unauthorized.counters["members.datagrams"] == 0
         assert member.core.live_weights() == {"a": 1.0}
         member.leave()
-        stranger.leave()
+        unauthorized.leave()
 
-    async def test_a_synchronization_delivers_what_datagrams_lost(self) -> None:
+    async def test_a_synchronization_delivers_events_that_gossip_did_not(self) -> None:
         first = await self.start("a", ())
         second = await self.start("b", (("127.0.0.1", first.core.local.port),))
         await wait_until(lambda: len(first.core.live_weights()) == len(second.core.live_weights()) == 2)
         await wait_until(lambda: not second.streams.is_syncing and not first.streams.is_syncing)
-        for number in range(300):  # far more than a datagram holds; none of it is ever gossiped
+        for number in range(300):  # far more than fits into a datagram; none of them is ever gossiped
             first.core.dissemination.learn_event(
                 UserEvent(f"load/box-{number}", "a", 1, steady_ms(), "ok", 1.0)
             )
@@ -106,30 +106,30 @@
         first.leave()
         second.leave()
 
-    async def test_noise_and_strangers_on_a_stream_are_disconnected_without_an_answer(self) -> None:
+    async def test_invalid_and_unauthorized_stream_messages_are_disconnected_without_a_response(self) -> None:
         member = await self.start("a", ())
-        stranger = MessageAuthenticator((key_from_secret(b"x" * 32),), 30_000.0)
+        unauthorized = MessageAuthenticator((key_from_secret(b"x" * 32),), 30_000.0)
         digest = encode(Digest(sender="b", run_id=1, digest=2))
         good = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0).sign(digest, steady_ms(), 1)
-        for data, why in (
+        for data, drop_reason in (
             (b"\xff\xff\xff\xff", "oversized"),
             (LENGTH_PREFIX.pack(4) + b"noise", "malformed"),
-            (LENGTH_PREFIX.pack(len(good)) + stranger.sign(digest, steady_ms(), 1), "unknown_key"),
+            (LENGTH_PREFIX.pack(len(good)) + unauthorized.sign(digest, steady_ms(), 1), "unknown_key"),
             (LENGTH_PREFIX.pack(len(good)) + bytes([*good[:-1], good[-1] ^ 1]), "forged"),
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
             writer.write(data)
-            assert await reader.read() == b"", why
-            assert member.counters[f"members.dropped.{why}"] == 1
+            assert await reader.read() == b"", drop_reason
+            assert member.counters[f"members.dropped.{drop_reason}"] == 1
             writer.close()
         reader, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
         writer.write(LENGTH_PREFIX.pack(len(good)) + good)
         assert len(await reader.read(4)) > 0
-        writer.close()  # in the middle of an exchange
+        writer.close()  # in the middle of a synchronization
         await wait_until(lambda: member.counters["members.exchanges_broken"] == 1)
-        again, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
-        writer.write(LENGTH_PREFIX.pack(len(good)) + good)  # somebody who has recorded it says it once more
-        assert await again.read() == b""
+        replay_reader, writer = await asyncio.open_connection("127.0.0.1", member.core.local.port)
+        writer.write(LENGTH_PREFIX.pack(len(good)) + good)  # a replay of the recorded message
+        assert await replay_reader.read() == b""
         assert member.counters["members.dropped.replayed"] == 1
         writer.close()
         member.leave()
