--- a/tests/test_members_detection.py
+++ b/tests/test_members_detection.py
@@ -24,8 +24,8 @@
             killed_ms = net.now_ms
             net.kill("m1")
             net.run(TAKEOVER_MS)
-            deaths = net.changes(MemberChange.DIED, "m1", killed_ms)
-            assert len(deaths) == count - 1, (count, seed)
+            detections = net.changes(MemberChange.DIED, "m1", killed_ms)
+            assert len(detections) == count - 1, (count, seed)
             assert net.has_converged()
 
 
@@ -34,7 +34,11 @@
         net = cluster(4, seed)
         net.pause("m2", 6_000.0)
         net.run(3_000.0)
-        assert {change.observer for change in net.changes(MemberChange.STALLED, "m2")} == {"m0", "m1", "m3"}
+        assert {observation.observer for observation in net.changes(MemberChange.STALLED, "m2")} == {
+            "m0",
+            "m1",
+            "m3",
+        }
         for name in ("m0", "m1", "m3"):
             assert set(net.nodes[name].core.responsive_weights()) == {"m0", "m1", "m3"}
         assert_converges(net)
--- a/tests/test_members_lifecycle.py
+++ b/tests/test_members_lifecycle.py
@@ -114,13 +114,15 @@
     second = net.start("m2", ("m0", "m1"))
     assert net.nodes["m2"] is second  # at the same address, this is a restart
     net.run(5_000.0)
-    first = MemberNetwork.start(net, "m9", ("m0",), port=7_777)
+    original = MemberNetwork.start(net, "m9", ("m0",), port=7_777)
     net.run(3_000.0)
     duplicate = start_duplicate(net, "m9")
     net.run(10_000.0)
-    assert (first.core.is_active, duplicate.core.is_active) == (True, False)
-    assert [observed.change for observed in net.changes(MemberChange.NAME_TAKEN)] == [MemberChange.NAME_TAKEN]
-    assert net.nodes["m0"].core.members.by_name["m9"].address == first.address
+    assert (original.core.is_active, duplicate.core.is_active) == (True, False)
+    assert [observation.change for observation in net.changes(MemberChange.NAME_TAKEN)] == [
+        MemberChange.NAME_TAKEN
+    ]
+    assert net.nodes["m0"].core.members.by_name["m9"].address == original.address
 
 
 def test_two_simulations_with_the_same_seed_are_the_same() -> None:
