--- a/tests/test_duties_simulated.py
+++ b/tests/test_duties_simulated.py
@@ -1,4 +1,4 @@
-"""Shared tasks in virtual time: the real runner, ownership and membership through faults of every kind."""
+"""Shared tasks in virtual time: runner, ownership and membership as in production, with injected faults."""
 
 from collections import Counter
 
@@ -13,26 +13,26 @@
 from gladewalk.rehearsal.task_simulation import TaskNetwork, build_task_network
 
 
-def test_a_cap_stretches_all_intervals_alike_and_lets_no_burst_through() -> None:
+def test_a_rate_limit_extends_all_intervals_equally_and_bounds_bursts() -> None:
     rate_limit = HealthCheckRateLimit(40.0, 0.0)
     assert [rate_limit.interval_stretch(per_s) for per_s in (0.0, 40.0, 100.0)] == [1.0, 1.0, 2.5]
-    assert rate_limit.allowance(0.0) == 10  # a quarter of a second's worth
+    assert rate_limit.allowance(0.0) == 10  # the checks of a quarter of a second
     rate_limit.spend(10)
     assert [rate_limit.allowance(at) for at in (0.0, 24.0, 25.0, 20.0, 60_000.0)] == [0, 0, 1, 1, 10]
     assert HealthCheckRateLimit(0.0, 0.0).interval_stretch(1e9) == 1.0
-    # 160 a second are wanted.
+    # 40 servers at 250 ms need 160 checks a second: twice the limit.
     net = build_task_network(4, 2, servers=40, interval_ms=250.0, checks_per_second=80.0)
     start = net.now_ms
     net.run(10_000.0)
     assert 0.45 < net.check_rates(start)[0] <= net.check_rates(start)[-1] < 0.55
-    net.kill("m1")  # its heirs find a quarter of all tasks overdue
+    net.kill("m1")  # the other members take over a quarter of all tasks, which are overdue
     net.run(10_000.0)
-    per_second = Counter(int(done.at_ms // 1_000.0) for done in net.checks if done.at_ms >= start)
-    assert max(per_second.values()) <= 100  # the cap, and a bucket of each member that had it full
+    per_second = Counter(int(check.at_ms // 1_000.0) for check in net.checks if check.at_ms >= start)
+    assert max(per_second.values()) <= 100  # the limit, and a full token bucket of each member
 
 
-def settle(net: TaskNetwork, ms: float = 15_000.0) -> None:
-    """After a time all agree, each task has one holder and each server is probed as often as it should."""
+def assert_converges(net: TaskNetwork, ms: float = 15_000.0) -> None:
+    """Runs for this virtual time and asserts that members agree, and each task has one owner and its rate."""
     net.run(ms)
     assert net.has_converged()
     assert not [(server, net.owners(server)) for server in net.servers if len(net.owners(server)) != 1]
@@ -43,34 +43,36 @@
 
 
 @pytest.mark.parametrize(("seed", "ms"), [(1, 6_000.0), (2, 1_500.0), (3, 2_400.0)])
-def test_a_member_that_only_seems_dead_comes_back_and_one_of_both_yields(seed: int, ms: float) -> None:
+def test_a_paused_member_gets_its_tasks_back_and_the_member_that_took_them_over_yields(
+    seed: int, ms: float
+) -> None:
     net = build_task_network(4, seed)
-    held = [server for server in net.servers if net.owners(server) == ["m2"]]
+    owned = [server for server in net.servers if net.owners(server) == ["m2"]]
     net.pause("m2", ms)
     net.run(ms - 1.0)
-    heirs = [net.owners(server) for server in held]
-    if ms > 2_000.0:  # found dead: its tasks have two holders until it is back
-        assert all(len(both) == 2 for both in heirs), heirs
-    settle(net)
-    assert not [seen for seen in net.changes(MemberChange.DIED) if seen.observer == "m2"]
-    assert held == [server for server in net.servers if net.owners(server) == ["m2"]]
+    owner_lists = [net.owners(server) for server in owned]
+    if ms > 2_000.0:  # others have taken over its tasks, so these have two owners until it resumes
+        assert all(len(owners) == 2 for owners in owner_lists), owner_lists
+    assert_converges(net)
+    assert not [change for change in net.changes(MemberChange.DIED) if change.observer == "m2"]
+    assert owned == [server for server in net.servers if net.owners(server) == ["m2"]]
 
 
 @pytest.mark.parametrize("count", [2, 4, 8])
-def test_no_server_goes_unprobed_past_the_bound_when_its_prober_dies(count: int) -> None:
+def test_every_server_is_checked_within_2_s_of_the_death_of_the_member_that_checked_it(count: int) -> None:
     for seed in range(12):
         net = build_task_network(count, seed, interval_ms=500.0)
         net.run(41.0 * seed)
         owned = [server for server in net.servers if net.owners(server) == ["m1"]]
-        killed = net.now_ms
+        killed_ms = net.now_ms
         net.kill("m1")
         net.run(2_000.0)
-        found = {done.server for done in net.checks if done.at_ms > killed and done.sender != "m1"}
-        assert set(owned) <= found, (count, seed)
-        settle(net, 5_000.0)
+        checked = {check.server for check in net.checks if check.at_ms > killed_ms and check.sender != "m1"}
+        assert set(owned) <= checked, (count, seed)
+        assert_converges(net, 5_000.0)
 
 
-def test_each_side_of_a_partition_probes_all_and_healed_they_divide_again() -> None:
+def test_each_side_of_a_partition_checks_all_servers_and_both_divide_them_again_after_its_end() -> None:
     net = build_task_network(4, 7)
     sides = {"m0": 0, "m2": 0, "m1": 1, "m3": 1}
     net.is_blocked = lambda source, target: sides[source] != sides[target]
@@ -78,18 +80,18 @@
     start = net.now_ms
     net.run(10_000.0)
     rates = net.check_rates(start)
-    assert 1.7 < rates[0] <= rates[-1] < 2.3, rates  # nobody knows better on either side
+    assert 1.7 < rates[0] <= rates[-1] < 2.3, rates  # each server is checked by one member of each side
     net.is_blocked = lambda source, target: False
-    settle(net, 20_000.0)
+    assert_converges(net, 20_000.0)
 
 
-def test_one_way_loss_moves_no_task_for_long() -> None:
+def test_tasks_have_single_owners_again_despite_a_link_blocked_one_way() -> None:
     net = build_task_network(4, 8)
     net.is_blocked = lambda source, target: (source, target) == ("m0", "m1")
-    settle(net, 20_000.0)
+    assert_converges(net, 20_000.0)
 
 
-def test_all_restart_one_after_the_other_and_one_joins_and_dies() -> None:
+def test_checks_go_on_during_a_rolling_restart_and_the_death_of_a_joining_member() -> None:
     net = build_task_network(4, 9)
     start = net.now_ms
     for number in range(4):
@@ -99,29 +101,29 @@
     net.run(800.0)
     net.kill("m4")
     assert net.longest_gap_ms(start) < 3_000.0
-    settle(net)
+    assert_converges(net)
 
 
 @pytest.mark.parametrize("jump_ms", [-4_000.0, 4_000.0])
-def test_clocks_that_jump_within_the_window_leave_one_prober(jump_ms: float) -> None:
+def test_tasks_have_single_owners_after_a_clock_jumps_within_the_accepted_window(jump_ms: float) -> None:
     net = build_task_network(4, 10)
     net.nodes["m1"].clock_offset_ms = jump_ms
-    settle(net)
+    assert_converges(net)
 
 
-def test_whose_name_is_taken_holds_nothing() -> None:
+def test_a_member_whose_name_is_taken_owns_no_tasks() -> None:
     net = build_task_network(3, 11)
     first = net.nodes["m2"]
     del net.nodes["m2"]
-    twin = net.start("m2", ("m0",), port=7_777)
-    net.nodes["m2"], net.nodes["twin"] = first, twin
+    duplicate = net.start("m2", ("m0",), port=7_777)
+    net.nodes["m2"], net.nodes["duplicate"] = first, duplicate
     net.run(10_000.0)
-    assert (first.core.is_active, twin.core.is_active) == (True, False)
+    assert (first.core.is_active, duplicate.core.is_active) == (True, False)
     assert net.is_divided()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_under_loss_duplicates_and_reordering_every_server_is_probed(seed: int) -> None:
+def test_every_server_is_checked_under_loss_duplication_and_reordering(seed: int) -> None:
     net = build_task_network(4, seed)
     net.loss_rate, net.duplicate_rate, net.delay_range_ms = 0.3, 0.2, (0.2, 15.0)
     start = net.now_ms
@@ -130,10 +132,10 @@
     assert 0.8 < rates[0] <= rates[-1] < 1.6, rates
     assert net.longest_gap_ms(start) < 4_000.0
     net.loss_rate = 0.0
-    settle(net)
+    assert_converges(net)
 
 
-def test_keys_are_rotated_in_the_middle_of_a_takeover() -> None:
+def test_a_key_rotation_during_a_takeover_causes_no_further_deaths() -> None:
     net = build_task_network(4, 12)
     old, new = net.nodes["m0"].authenticator.signing_key, key_from_secret(b"n" * 32)
     start = net.now_ms
@@ -142,13 +144,16 @@
         for name in ("m0", "m1", "m2"):
             net.nodes[name].authenticator.replace_keys(ring)
             net.run(250.0)
-    settle(net)
+    assert_converges(net)
     assert net.longest_gap_ms(start) < 3_000.0
-    assert {seen.member for seen in net.changes(MemberChange.DIED)} == {"m3"}
+    assert {change.member for change in net.changes(MemberChange.DIED)} == {"m3"}
 
 
 class Faults(RuleBasedStateMachine):
-    """Whatever happens in whatever order: once it is over, each server has one prober again."""
+    """Random faults in random order; after they end, each server is checked by one member again.
+
+    The names of rules and arguments keep their alphabetical order, on which the generated faults depend.
+    """
 
     names = st.sampled_from(("m0", "m1", "m2", "m3"))
 
@@ -168,12 +173,12 @@
     def stop(self, name: str, ms: float) -> None:
         self.net.pause(name, ms)
 
-    @rule(loss=st.sampled_from((0.0, 0.1, 0.3)), double=st.sampled_from((0.0, 0.3)))
-    def lose(self, loss: float, double: float) -> None:
-        self.net.loss_rate, self.net.duplicate_rate = loss, double
+    @rule(loss=st.sampled_from((0.0, 0.1, 0.3)), duplication=st.sampled_from((0.0, 0.3)))
+    def lose_datagrams(self, loss: float, duplication: float) -> None:
+        self.net.loss_rate, self.net.duplicate_rate = loss, duplication
 
     @rule(name=names, one_way=st.booleans())
-    def cut_off(self, name: str, one_way: bool) -> None:
+    def block_datagrams(self, name: str, one_way: bool) -> None:
         self.net.is_blocked = lambda source, target: source == name or (target == name and not one_way)
 
     @rule(ms=st.sampled_from((50.0, 400.0, 2_000.0)))
@@ -195,7 +200,7 @@
         assert net.check_rates(start)[0] >= 0.8 and net.check_rates(start)[-1] <= 1.2, net.check_rates(start)
 
 
-def test_any_faults_end_with_one_prober_a_server() -> None:
+def test_each_server_is_checked_by_one_member_after_random_faults() -> None:
     run_state_machine_as_test(
         Faults, settings=profile(max_examples=60, stateful_step_count=12, deadline=None, derandomize=True)
     )
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,7 +1,8 @@
-"""Membership across processes: five directors with relays between them for each fault case.
+"""Membership across processes: for each fault case, five directors that are connected by relays.
 
-Fleets run beside one another, so that all cases take little longer than the longest. Bounds are of seconds
-where a quiet machine takes tenths: what is checked is who was declared dead, and that all agree again.
+The fleets of all cases run concurrently, so that all cases take little longer than the longest. Time limits
+are in seconds although an idle machine takes tenths of a second: the tests check which members were declared
+dead and that all members agree again, not how fast.
 """
 
 import asyncio
@@ -34,11 +35,11 @@
 MAX_STALL_MS = MembershipConfig().max_stall_ms
 MEMBERS = 5
 CONVERGE_SECONDS = 30.0
-RESTART_SECONDS = 60.0  # on a busy machine
-STAY_SECONDS = 1.0
+RESTART_SECONDS = 60.0  # long enough for a busy machine
+STABLE_SECONDS = 1.0
 CHECK_INTERVAL_MS = 300.0
-MAX_GAP_MS = 4_000.0  # a stall is found after some 1.2 s; what it leaves is spread over a quarter interval
-MAX_CHECK_FACTOR = 1.8  # two may check for a moment, not for a whole fault
+MAX_GAP_MS = 4_000.0  # a stall is detected in about 1.2 s; then its tasks are spread over a quarter interval
+MAX_CHECK_FACTOR = 1.8  # two directors may check a server briefly, but not during a whole fault
 
 
 def has_converged(fleet: Fleet) -> bool:
@@ -50,39 +51,39 @@
 
 
 async def run_case(case: FaultCase) -> str:
-    """Plays a case to a fleet of its own; returns what went wrong, empty if nothing did."""
+    """Runs a fault case on a fleet of its own; returns the failure, or an empty string."""
     coordinator = await Coordinator().start()
     names = tuple(f"n{number}" for number in range(MEMBERS))
     with tempfile.TemporaryDirectory() as folder:
         fleet = await Fleet(Path(folder), names, config_for([], coordinator), 1, None, {}).open()
         try:
-            failure = await play_case(fleet, case)
+            failure = await inject_faults(fleet, case)
         finally:
             await fleet.close()
             coordinator.stop()
     return f"{case.name}: {failure}" if failure else ""
 
 
-async def play_case(fleet: Fleet, case: FaultCase) -> str:
+async def inject_faults(fleet: Fleet, case: FaultCase) -> str:
     for name in fleet.names:
         await fleet.start(name)
     if not await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
-        return "they never met"
-    await asyncio.sleep(STAY_SECONDS)
+        return "the members did not converge after their start"
+    await asyncio.sleep(STABLE_SECONDS)
     begun_ms, faults = time.time() * 1000.0, case.faults(fleet.names)
     await play_schedule(fleet, faults)
-    if case.kind == FaultKind.KILL:  # until it has started again, all agree
+    if case.kind == FaultKind.KILL:  # members would count as converged until the killed one has restarted
         await becomes_true(lambda: start_count(fleet, faults[0].targets[0]) == 2, RESTART_SECONDS)
     if not await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
-        return f"no convergence afterwards: {history_of(fleet.observed_changes())}"
-    await asyncio.sleep(STAY_SECONDS)  # and it stays so
+        return f"no convergence after the fault: {history_of(fleet.observed_changes())}"
+    await asyncio.sleep(STABLE_SECONDS)  # the members must stay converged for this time
     changes = fleet.observed_changes()
     unexpected = unexpected_deaths(changes, expected_failures(faults, fleet.names, begun_ms, MAX_STALL_MS))
     victim = faults[0].targets[0] if faults[0].targets else ""
-    found = detection_times_ms(changes, victim, begun_ms, set(fleet.names) - {victim})
-    is_missed = case.must_be_found_dead and len(found) < len(fleet.names) - 1
+    times_ms = detection_times_ms(changes, victim, begun_ms, set(fleet.names) - {victim})
+    is_missed = case.must_be_found_dead and len(times_ms) < len(fleet.names) - 1
     if unexpected or is_missed or not has_converged(fleet):
-        return f"unexpected {unexpected}, found dead by {found}: {history_of(changes)}"
+        return f"unexpected {unexpected}, declared dead after {times_ms}: {history_of(changes)}"
     return ""
 
 
@@ -94,11 +95,11 @@
     return "; ".join(f"{at_ms - lines[0][0]:.0f} {text}" for at_ms, text in lines)
 
 
-def test_every_fault_case_between_processes() -> None:
-    async def play_all() -> list[str]:
+def test_members_in_processes_converge_after_every_fault_case_without_unexpected_deaths() -> None:
+    async def run_all() -> list[str]:
         return [failure for failure in await asyncio.gather(*map(run_case, CASES)) if failure]
 
-    assert asyncio.run(play_all()) == []
+    assert asyncio.run(run_all()) == []
 
 
 class MembersView(FleetTestCase):
@@ -130,12 +131,12 @@
 
 
 class SharedTasks(FleetTestCase):
-    async def test_no_cache_goes_unchecked_while_a_member_is_paused_killed_or_cut_off(self) -> None:
+    async def test_every_cache_is_checked_while_a_member_is_paused_killed_or_isolated(self) -> None:
         checked_ms: dict[str, list[float]] = {}
 
-        async def answer(heard: ReceivedRequest) -> None:
-            checked_ms.setdefault(heard.server.uid, []).append(time.monotonic() * 1000.0)
-            await heard.answer(200, b"", X_Load="util=0.1")
+        async def answer(request: ReceivedRequest) -> None:
+            checked_ms.setdefault(request.server.uid, []).append(time.monotonic() * 1000.0)
+            await request.answer(200, b"", X_Load="util=0.1")
 
         caches = tuple([await ScriptedServer(answer, uid=f"c{number}").start() for number in range(8)])
         try:
@@ -156,8 +157,8 @@
                 for uid, times in times_ms.items()
             }
             assert max(gaps_ms.values()) < MAX_GAP_MS, gaps_ms
-            wanted = len(caches) * (ended_ms - begun_ms) / CHECK_INTERVAL_MS
-            assert sum(map(len, times_ms.values())) < MAX_CHECK_FACTOR * wanted
+            expected_checks = len(caches) * (ended_ms - begun_ms) / CHECK_INTERVAL_MS
+            assert sum(map(len, times_ms.values())) < MAX_CHECK_FACTOR * expected_checks
         finally:
             for cache in caches:
                 cache.stop()
