--- a/tests/test_duties_directors.py
+++ b/tests/test_duties_directors.py
@@ -38,7 +38,7 @@
     return director.task_runner
 
 
-def owned_tasks(runners: list[TaskRunner]) -> list[str]:
+def all_owned_tasks(runners: list[TaskRunner]) -> list[str]:
     return sorted(task for runner in runners for task in runner.owned_tasks())
 
 
@@ -114,7 +114,7 @@
     async def test_check_results_are_shared_and_the_tasks_of_a_dead_director_are_taken_over(self) -> None:
         runners = [runner_of(director) for director in self.directors]
         await wait_until(lambda: all(len(runner.peers.core.live_weights()) == 3 for runner in runners))
-        await wait_until(lambda: owned_tasks(runners) == ALL_TASKS)
+        await wait_until(lambda: all_owned_tasks(runners) == ALL_TASKS)
         await wait_until(lambda: in_flight_count(runners) == 0)  # each director started as owner of all tasks
         self.checks.clear()
         for results in self.results:
@@ -137,6 +137,6 @@
         self.disconnected = lost
         runner_of(lost).task_types.clear()
         remaining = [runner for runner in runners if runner is not runner_of(lost)]
-        await wait_until(lambda: owned_tasks(remaining) == ALL_TASKS)
+        await wait_until(lambda: all_owned_tasks(remaining) == ALL_TASKS)
         self.checks.clear()
         await wait_until(lambda: len(self.checks) == len(ALL_TASKS))
--- a/tests/test_duties_ownership.py
+++ b/tests/test_duties_ownership.py
@@ -31,10 +31,10 @@
     """Sends all members' claims to all other members repeatedly, until they contain nothing new."""
     for _ in range(6):
         for sender in views.values():
-            for task, owned in list(sender.owned.items()):
+            for task, owned_task in list(sender.owned.items()):
                 for receiver in views.values():
                     if receiver is not sender:
-                        receiver.handle_claim(task, owned.claim, sender.last_done_ms.get(task), now)
+                        receiver.handle_claim(task, owned_task.claim, sender.last_done_ms.get(task), now)
 
 
 def owners(views: dict[str, Ownership], task: str) -> list[str]:
@@ -130,9 +130,9 @@
     """Broken: it doesn't yield a task to a better claim."""
 
     def handle_claim(self, task: str, claim: OwnershipClaim, done_ms: float | None, now_ms: float) -> bool:
-        owned, is_accepted = self.owned.get(task), super().handle_claim(task, claim, done_ms, now_ms)
-        if owned is not None:
-            self.owned.setdefault(task, owned)
+        owned_task, is_accepted = self.owned.get(task), super().handle_claim(task, claim, done_ms, now_ms)
+        if owned_task is not None:
+            self.owned.setdefault(task, owned_task)
         return is_accepted
 
 
@@ -140,8 +140,8 @@
     """Broken: after a restart it keeps its new run's claim, which the others consider outdated."""
 
     def handle_claim(self, task: str, claim: OwnershipClaim, done_ms: float | None, now_ms: float) -> bool:
-        owned = self.owned.get(task)
-        if owned is not None and claim.owner == self.member and owned.claim < claim:
+        owned_task = self.owned.get(task)
+        if owned_task is not None and claim.owner == self.member and owned_task.claim < claim:
             self.best_claims[task] = claim
             return True
         return super().handle_claim(task, claim, done_ms, now_ms)
--- a/tests/test_duties_simulated.py
+++ b/tests/test_duties_simulated.py
@@ -47,15 +47,15 @@
     seed: int, ms: float
 ) -> None:
     net = build_task_network(4, seed)
-    owned = [server for server in net.servers if net.owners(server) == ["m2"]]
+    owned_servers = [server for server in net.servers if net.owners(server) == ["m2"]]
     net.pause("m2", ms)
     net.run(ms - 1.0)
-    owner_lists = [net.owners(server) for server in owned]
+    owner_lists = [net.owners(server) for server in owned_servers]
     if ms > 2_000.0:  # others have taken over its tasks, so these have two owners until it resumes
-        assert all(len(owners) == 2 for owners in owner_lists), owner_lists
+        assert all(len(names) == 2 for names in owner_lists), owner_lists
     assert_converges(net)
     assert not [change for change in net.changes(MemberChange.DIED) if change.observer == "m2"]
-    assert owned == [server for server in net.servers if net.owners(server) == ["m2"]]
+    assert owned_servers == [server for server in net.servers if net.owners(server) == ["m2"]]
 
 
 @pytest.mark.parametrize("count", [2, 4, 8])
