--- a/tests/test_golden_members.py
+++ b/tests/test_golden_members.py
@@ -1,7 +1,8 @@
-"""Bytes, names and decisions of membership as captured at 090a370: datagrams, streams, views, log events.
+"""Compares messages, names and decisions of membership with golden data that was captured at 090a370.
 
-`python -m tests.test_golden_members` records the data anew; only a deliberate change of the protocol calls
-for that, since a fleet runs old and new directors side by side.
+The data holds datagrams, streams, views and log events. `python -m tests.test_golden_members` captures it
+again, which is only right after a deliberate change of the protocol: during an upgrade, a fleet has directors
+of both versions.
 """
 
 import asyncio
@@ -91,18 +92,20 @@
 }
 
 
-def wire() -> dict[str, str]:
-    return {name: messages.encode(said).hex() for name, said in {**DATAGRAMS, **STREAMED}.items()}
+def encoded_messages() -> dict[str, str]:
+    return {name: messages.encode(message).hex() for name, message in {**DATAGRAMS, **STREAMED}.items()}
 
 
-def sealed() -> dict[str, str]:
-    """Authenticated by the first of two keys, at a fixed time and with a fixed nonce."""
-    seal = MessageAuthenticator((key_from_secret(b"k" * 32), key_from_secret(b"old key " * 5)), 30_000.0)
-    datagram = seal.sign(messages.encode(DATAGRAMS["ping"]), NOW_MS, NONCE)
-    second = seal.sign(messages.encode(DATAGRAMS["ack"]), NOW_MS + 1.0, NONCE + 1)
-    seal.replace_keys((key_from_secret(b"old key " * 5),))
-    rotated = seal.sign(messages.encode(DATAGRAMS["join"]), NOW_MS + 2.0, NONCE + 2)
-    stream = seal.sign(messages.encode(STREAMED["full_state"]), NOW_MS, NONCE, 2**21)
+def signed_messages() -> dict[str, str]:
+    """Messages signed with the first of two keys, at a fixed time and with a fixed nonce."""
+    authenticator = MessageAuthenticator(
+        (key_from_secret(b"k" * 32), key_from_secret(b"old key " * 5)), 30_000.0
+    )
+    datagram = authenticator.sign(messages.encode(DATAGRAMS["ping"]), NOW_MS, NONCE)
+    second = authenticator.sign(messages.encode(DATAGRAMS["ack"]), NOW_MS + 1.0, NONCE + 1)
+    authenticator.replace_keys((key_from_secret(b"old key " * 5),))
+    rotated = authenticator.sign(messages.encode(DATAGRAMS["join"]), NOW_MS + 2.0, NONCE + 2)
+    stream = authenticator.sign(messages.encode(STREAMED["full_state"]), NOW_MS, NONCE, 2**21)
     return {
         "key_ids": f"{key_from_secret(b'k' * 32).id.hex()} {key_from_secret(b'old key ' * 5).id.hex()}",
         "datagram": datagram.hex(),
@@ -112,7 +115,7 @@
     }
 
 
-def names() -> dict[str, Any]:
+def enum_values_and_hashes() -> dict[str, Any]:
     return {
         "states": {state.name: int(state) for state in MemberState},
         "changes": {change.name: change.value for change in MemberChange},
@@ -123,8 +126,8 @@
     }
 
 
-def view() -> Any:
-    """What `gladewalk members --json` shows of a fleet with a stalled and a dead member."""
+def membership_view() -> Any:
+    """The output of `gladewalk members --json` for a fleet with a stalled and a dead member."""
     net = build_task_network(5, 11)
     net.pause("m2", 6_000.0)
     net.kill("m3")
@@ -135,27 +138,29 @@
 
 
 def log_and_counters() -> dict[str, Any]:
-    """The log events and counters of one member's endpoint, with a clock of its own."""
+    """The log events and counters of one member's transport, with a fixed clock."""
 
-    async def story() -> dict[str, Any]:
+    async def run_transport() -> dict[str, Any]:
         now, rng = [NOW_MS], random.Random(4)
         core = Membership("a", ("127.0.0.1", 0), (), MembershipConfig(), rng, NOW_MS)
         networks = (ipaddress.ip_network("127.0.0.0/8"),)
-        seal, counters = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0), Counters()
+        authenticator, counters = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0), Counters()
         members = MembershipTransport(
-            core, seal, networks, lambda: now[0], Deadlines(lambda when: None), counters
+            core, authenticator, networks, lambda: now[0], Deadlines(lambda when: None), counters
         )
         with structlog.testing.capture_logs() as lines:
             await members.listen()
             port = core.local.port
             now[0] += 100.0
-            stranger = MessageAuthenticator((key_from_secret(b"x" * 32),), 30_000.0)
-            ours = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0)
+            unknown_key = MessageAuthenticator((key_from_secret(b"x" * 32),), 30_000.0)
+            known_key = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0)
             b = MemberUpdate("b", "127.0.0.1", 9, 7, 8, MemberState.ALIVE)
-            hello = ours.sign(messages.encode(Join(sender="b", run_id=7, updates=[b])), now[0], 1)
+            join = known_key.sign(messages.encode(Join(sender="b", run_id=7, updates=[b])), now[0], 1)
             suspicion = MemberUpdate("b", "127.0.0.1", 9, 7, 8, MemberState.SUSPECT, suspected_by="c")
-            told = ours.sign(messages.encode(Ack(sender="c", run_id=9, updates=[suspicion])), now[0], 2)
-            me = MemberUpdate(
+            suspicion_of_b = known_key.sign(
+                messages.encode(Ack(sender="c", run_id=9, updates=[suspicion])), now[0], 2
+            )
+            own_suspicion = MemberUpdate(
                 "a",
                 "127.0.0.1",
                 port,
@@ -164,20 +169,22 @@
                 MemberState.SUSPECT,
                 suspected_by="b",
             )
-            accused = ours.sign(messages.encode(Ack(sender="b", run_id=7, updates=[me])), now[0], 3)
-            junk = ours.sign(b"junk", now[0], 4)
+            suspicion_of_a = known_key.sign(
+                messages.encode(Ack(sender="b", run_id=7, updates=[own_suspicion])), now[0], 3
+            )
+            malformed = known_key.sign(b"junk", now[0], 4)
             for data, host in (
-                (hello, "127.0.0.1"),
-                (hello, "127.0.0.1"),
-                (hello, "10.9.9.9"),
-                (told, "127.0.0.1"),
+                (join, "127.0.0.1"),
+                (join, "127.0.0.1"),
+                (join, "10.9.9.9"),
+                (suspicion_of_b, "127.0.0.1"),
                 (b"noise", "127.0.0.1"),
                 (bytes(2_000), "127.0.0.1"),
-                (junk, "127.0.0.1"),
-                (stranger.sign(b"", now[0], 5), "127.0.0.1"),
-                (accused, "127.0.0.1"),
-                (ours.sign(b"", now[0] - 1e6, 6), "127.0.0.1"),
-                (hello[:-1] + b"!", "127.0.0.1"),
+                (malformed, "127.0.0.1"),
+                (unknown_key.sign(b"", now[0], 5), "127.0.0.1"),
+                (suspicion_of_a, "127.0.0.1"),
+                (known_key.sign(b"", now[0] - 1e6, 6), "127.0.0.1"),
+                (join[:-1] + b"!", "127.0.0.1"),
             ):
                 members.datagram_received(data, (host, 9))
             members.error_received(OSError())
@@ -191,41 +198,43 @@
             "counters": counts,
         }
 
-    return json.loads(json.dumps(asyncio.run(story())))  # type: ignore[no-any-return]
+    return json.loads(json.dumps(asyncio.run(run_transport())))  # type: ignore[no-any-return]
 
 
-def record(net: MemberNetwork) -> Any:
-    """Hashes every datagram from now on, with its time, sender and receiver."""
-    recorded, post = hashlib.sha256(), net.send
+def record_datagrams(net: MemberNetwork) -> Any:
+    """Returns a hash over every datagram from now on, with its time, sender and receiver."""
+    datagram_hash, send = hashlib.sha256(), net.send
 
-    def recording(node: Any, data: bytes, to: Any) -> None:
-        recorded.update(repr((net.now_ms, node.name, to)).encode() + data)
-        post(node, data, to)
+    def record(node: Any, data: bytes, to: Any) -> None:
+        datagram_hash.update(repr((net.now_ms, node.name, to)).encode() + data)
+        send(node, data, to)
 
-    net.send = recording  # type: ignore[method-assign]
-    return recorded
+    net.send = record  # type: ignore[method-assign]
+    return datagram_hash
 
 
-def history_of(net: MemberNetwork) -> str:
-    lines = [f"{seen.at_ms!r} {seen.observer} {seen.change.value} {seen.member}" for seen in net.observed]
+def history_hash(net: MemberNetwork) -> str:
+    lines = [
+        f"{change.at_ms!r} {change.observer} {change.change.value} {change.member}" for change in net.observed
+    ]
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
 def fingerprint(kind: str, size: int, seed: int) -> list[Any]:
-    """Every datagram and every change of a run: the same draws, times, targets and bytes."""
+    """Hashes of all datagrams and changes of a run, which depend on all random draws, times and targets."""
     net = cluster(size, seed, settle_ms=1_000.0)
-    recorded = record(net)
+    datagram_hash = record_datagrams(net)
     net.run(1_000.0)
-    names_ = tuple(net.nodes)
+    member_names = tuple(net.nodes)
     for case in CASES:
         if case.kind == kind:
-            play(net, case.faults(names_))
+            play(net, case.faults(member_names))
             net.run(4_000.0)
     net.max_timer_delay_ms = 60.0
     net.run(2_000.0)
     return [
-        recorded.hexdigest(),
-        history_of(net),
+        datagram_hash.hexdigest(),
+        history_hash(net),
         len(net.observed),
         sum(net.sent_datagrams.values()),
         sum(net.sent_bytes.values()),
@@ -247,9 +256,9 @@
 
 
 def fingerprint_with_events() -> list[Any]:
-    """The same with user events, of duties that move while members are killed and started."""
+    """The same with user events, for tasks that move while a member is killed and started again."""
     net = build_task_network(4, 12, servers=30, settle_ms=1_000.0)
-    recorded = record(net)
+    datagram_hash = record_datagrams(net)
     net.loss_rate = 0.1
     net.run(3_000.0)
     net.kill("m1")
@@ -257,23 +266,23 @@
     net.join("m1", ("m0",))
     net.run(4_000.0)
     return [
-        recorded.hexdigest(),
-        history_of(net),
+        datagram_hash.hexdigest(),
+        history_hash(net),
         len(net.observed),
         sum(net.sent_datagrams.values()),
         sum(net.sent_bytes.values()),
     ]
 
 
-def runs() -> dict[str, list[Any]]:
+def run_fingerprints() -> dict[str, list[Any]]:
     return {f"{kind} {size} {seed}": fingerprint(kind, size, seed) for kind, size, seed in RUNS}
 
 
 PARTS: dict[str, Callable[[], Any]] = {
-    "wire": wire,
-    "sealed": sealed,
-    "names": names,
-    "view": view,
+    "wire": encoded_messages,
+    "sealed": signed_messages,
+    "names": enum_values_and_hashes,
+    "view": membership_view,
     "endpoint": log_and_counters,
     "run_with_events": fingerprint_with_events,
 }
@@ -284,35 +293,37 @@
 
 
 @pytest.mark.parametrize("part", PARTS)
-def test_what_is_written_is_as_it_was(part: str) -> None:
+def test_each_part_equals_its_golden_data(part: str) -> None:
     assert PARTS[part]() == golden()[part]
 
 
-def test_what_was_written_is_read() -> None:
-    written = golden()["wire"]
-    assert {name: messages.decode(bytes.fromhex(written[name])) for name in DATAGRAMS} == DATAGRAMS
-    assert {name: messages.decode_streamed(bytes.fromhex(written[name])) for name in STREAMED} == STREAMED
+def test_golden_messages_are_decoded() -> None:
+    encoded = golden()["wire"]
+    assert {name: messages.decode(bytes.fromhex(encoded[name])) for name in DATAGRAMS} == DATAGRAMS
+    assert {name: messages.decode_streamed(bytes.fromhex(encoded[name])) for name in STREAMED} == STREAMED
 
 
-def test_what_was_sealed_is_opened() -> None:
-    written = {name: bytes.fromhex(text) for name, text in golden()["sealed"].items() if name != "key_ids"}
-    seal = MessageAuthenticator((key_from_secret(b"old key " * 5), key_from_secret(b"k" * 32)), 30_000.0)
-    assert seal.verify(written["datagram"], NOW_MS) == messages.encode(DATAGRAMS["ping"])
-    assert seal.verify(written["second"], NOW_MS) == messages.encode(DATAGRAMS["ack"])
-    assert seal.verify(written["rotated"], NOW_MS) == messages.encode(DATAGRAMS["join"])
-    assert seal.verify(written["datagram"], NOW_MS) is DropReason.REPLAYED
-    (length,) = LENGTH_PREFIX.unpack(written["stream"][: LENGTH_PREFIX.size])
-    stream = written["stream"][LENGTH_PREFIX.size :]
+def test_golden_signed_messages_are_verified() -> None:
+    signed = {name: bytes.fromhex(text) for name, text in golden()["sealed"].items() if name != "key_ids"}
+    authenticator = MessageAuthenticator(
+        (key_from_secret(b"old key " * 5), key_from_secret(b"k" * 32)), 30_000.0
+    )
+    assert authenticator.verify(signed["datagram"], NOW_MS) == messages.encode(DATAGRAMS["ping"])
+    assert authenticator.verify(signed["second"], NOW_MS) == messages.encode(DATAGRAMS["ack"])
+    assert authenticator.verify(signed["rotated"], NOW_MS) == messages.encode(DATAGRAMS["join"])
+    assert authenticator.verify(signed["datagram"], NOW_MS) is DropReason.REPLAYED
+    (length,) = LENGTH_PREFIX.unpack(signed["stream"][: LENGTH_PREFIX.size])
+    stream = signed["stream"][LENGTH_PREFIX.size :]
     assert length == len(stream)
-    opened = seal.verify(stream, NOW_MS, 2**21)
-    assert isinstance(opened, bytes) and messages.decode_streamed(opened) == STREAMED["full_state"]
+    verified = authenticator.verify(stream, NOW_MS, 2**21)
+    assert isinstance(verified, bytes) and messages.decode_streamed(verified) == STREAMED["full_state"]
 
 
 @pytest.mark.parametrize(("kind", "size", "seed"), RUNS)
-def test_every_datagram_and_change_of_a_run_is_as_it_was(kind: str, size: int, seed: int) -> None:
+def test_all_datagrams_and_changes_of_a_run_equal_the_golden_data(kind: str, size: int, seed: int) -> None:
     assert fingerprint(kind, size, seed) == golden()["runs"][f"{kind} {size} {seed}"]
 
 
 if __name__ == "__main__":
-    captured = {**{name: capture() for name, capture in PARTS.items()}, "runs": runs()}
+    captured = {**{name: capture() for name, capture in PARTS.items()}, "runs": run_fingerprints()}
     DATA.write_text(json.dumps(captured, indent=1) + "\n")
