--- a/tests/test_duties_simulated.py
+++ b/tests/test_duties_simulated.py
@@ -47,15 +47,15 @@
     seed: int, ms: float
 ) -> None:
     net = build_task_network(4, seed)
-    owned_servers = [server for server in net.servers if net.owners(server) == ["m2"]]
+    servers_of_m2 = [server for server in net.servers if net.owners(server) == ["m2"]]
     net.pause("m2", ms)
     net.run(ms - 1.0)
-    owner_lists = [net.owners(server) for server in owned_servers]
+    owner_lists = [net.owners(server) for server in servers_of_m2]
     if ms > 2_000.0:  # others have taken over its tasks, so these have two owners until it resumes
         assert all(len(owner_names) == 2 for owner_names in owner_lists), owner_lists
     assert_converges(net)
     assert not [change for change in net.changes(MemberChange.DIED) if change.observer == "m2"]
-    assert owned_servers == [server for server in net.servers if net.owners(server) == ["m2"]]
+    assert servers_of_m2 == [server for server in net.servers if net.owners(server) == ["m2"]]
 
 
 @pytest.mark.parametrize("count", [2, 4, 8])
@@ -63,12 +63,12 @@
     for seed in range(12):
         net = build_task_network(count, seed, interval_ms=500.0)
         net.run(41.0 * seed)
-        owned_servers = [server for server in net.servers if net.owners(server) == ["m1"]]
+        servers_of_m1 = [server for server in net.servers if net.owners(server) == ["m1"]]
         killed_ms = net.now_ms
         net.kill("m1")
         net.run(2_000.0)
         checked = {check.server for check in net.checks if check.at_ms > killed_ms and check.sender != "m1"}
-        assert set(owned_servers) <= checked, (count, seed)
+        assert set(servers_of_m1) <= checked, (count, seed)
         assert_converges(net, 5_000.0)
 
 
--- a/tests/test_golden_duties.py
+++ b/tests/test_golden_duties.py
@@ -55,7 +55,7 @@
 
 
 def record_published_events(net: TaskNetwork) -> list[list[Any]]:
-    """Returns a list to which every claim and result is added, in order, that a member publishes from now on."""
+    """Returns a list to which all claims and results are added, in order, that members publish from now on."""
     published: list[list[Any]] = []
     for name, runner in net.runners.items():
         publish = runner.peers.publish_event
@@ -79,13 +79,13 @@
     net.run(6_000.0)
     net.join("m1", ("m0",))
     net.run(6_000.0)
-    checks = [[round(check.at_ms, 6), check.sender, check.server] for check in net.checks]
+    check_rows = [[round(check.at_ms, 6), check.sender, check.server] for check in net.checks]
     view = msgspec.to_builtins(membership_status(net.runners["m0"]))
     counters = {name: dict(sorted(runner.counters.items())) for name, runner in net.runners.items()}
     return {
         "told": len(published), "told_sha256": hashlib.sha256(json.dumps(published).encode()).hexdigest(),
         "first_told": published[:12],
-        "done": len(checks), "done_sha256": hashlib.sha256(json.dumps(checks).encode()).hexdigest(),
+        "done": len(check_rows), "done_sha256": hashlib.sha256(json.dumps(check_rows).encode()).hexdigest(),
         "view": view, "counters": counters,
     }  # fmt: skip
 
--- a/tests/test_golden_members.py
+++ b/tests/test_golden_members.py
@@ -155,7 +155,9 @@
             unknown_key = MessageAuthenticator((key_from_secret(b"x" * 32),), 30_000.0)
             known_key = MessageAuthenticator((key_from_secret(b"k" * 32),), 30_000.0)
             b = MemberUpdate("b", "127.0.0.1", 9, 7, 8, MemberState.ALIVE)
-            join = known_key.sign(messages.encode(Join(sender="b", run_id=7, updates=[b])), now[0], 1)
+            join_datagram = known_key.sign(
+                messages.encode(Join(sender="b", run_id=7, updates=[b])), now[0], 1
+            )
             suspicion = MemberUpdate("b", "127.0.0.1", 9, 7, 8, MemberState.SUSPECT, suspected_by="c")
             suspicion_of_b = known_key.sign(
                 messages.encode(Ack(sender="c", run_id=9, updates=[suspicion])), now[0], 2
@@ -174,9 +176,9 @@
             )
             malformed = known_key.sign(b"junk", now[0], 4)
             for data, host in (
-                (join, "127.0.0.1"),
-                (join, "127.0.0.1"),
-                (join, "10.9.9.9"),
+                (join_datagram, "127.0.0.1"),
+                (join_datagram, "127.0.0.1"),
+                (join_datagram, "10.9.9.9"),
                 (suspicion_of_b, "127.0.0.1"),
                 (b"noise", "127.0.0.1"),
                 (bytes(2_000), "127.0.0.1"),
@@ -184,7 +186,7 @@
                 (unknown_key.sign(b"", now[0], 5), "127.0.0.1"),
                 (suspicion_of_a, "127.0.0.1"),
                 (known_key.sign(b"", now[0] - 1e6, 6), "127.0.0.1"),
-                (join[:-1] + b"!", "127.0.0.1"),
+                (join_datagram[:-1] + b"!", "127.0.0.1"),
             ):
                 members.datagram_received(data, (host, 9))
             members.error_received(OSError())
@@ -203,11 +205,11 @@
 
 def record_datagrams(net: MemberNetwork) -> Any:
     """Returns a hash over every datagram from now on, with its time, sender and receiver."""
-    datagram_hash, send = hashlib.sha256(), net.send
+    datagram_hash, send_datagram = hashlib.sha256(), net.send
 
     def record(node: Any, data: bytes, to: Any) -> None:
         datagram_hash.update(repr((net.now_ms, node.name, to)).encode() + data)
-        send(node, data, to)
+        send_datagram(node, data, to)
 
     net.send = record  # type: ignore[method-assign]
     return datagram_hash
@@ -215,7 +217,8 @@
 
 def history_hash(net: MemberNetwork) -> str:
     lines = [
-        f"{change.at_ms!r} {change.observer} {change.change.value} {change.member}" for change in net.observed
+        f"{observation.at_ms!r} {observation.observer} {observation.change.value} {observation.member}"
+        for observation in net.observed
     ]
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
