--- a/tests/test_golden_duties.py
+++ b/tests/test_golden_duties.py
@@ -55,7 +55,7 @@
 
 
 def record_published_events(net: TaskNetwork) -> list[list[Any]]:
-    """Returns a list to which all claims and results are added, in order, that members publish from now on."""
+    """Returns a list to which all events that members publish from now on are added, in order."""
     published: list[list[Any]] = []
     for name, runner in net.runners.items():
         publish = runner.peers.publish_event
