--- a/gladewalk/duties/ownership.py
+++ b/gladewalk/duties/ownership.py
@@ -109,7 +109,7 @@
         self.review(now_ms)
 
     def handle_claim(self, task: str, claim: OwnershipClaim, done_ms: float | None, now_ms: float) -> bool:
-        """Handles another member's claim; yields the task if the claim is better than this member's.
+        """Handles a received claim; yields the task if the claim is another member's and the better one.
 
         `done_ms` is when the task was performed under this claim, or None. Returns False for an unknown task
         and for a claim that is worse than the best known one.
--- a/gladewalk/members/config.py
+++ b/gladewalk/members/config.py
@@ -15,9 +15,9 @@
 
     ping_period_ms: float = 200.0
     ping_timeout_ms: float = 80.0  # for the ack of a direct ping; indirect pings have the rest of the period
-    indirect_ping_members: int = 3  # members that are requested to ping a target on our behalf
+    indirect_ping_members: int = 3  # members that ping a target on the local member's behalf
     min_suspicion_ms: float = 500.0  # duration of a suspicion that enough other members confirm
-    max_suspicion_factor: float = 2.0  # times the minimum: duration of a suspicion that nobody confirms
+    max_suspicion_factor: float = 2.0  # times the minimum: duration of a suspicion without confirmations
     suspicion_confirmations: int = 2  # confirmations that shorten a suspicion to its minimum
     max_stall_ms: float = 10_000.0  # how long a member is kept that accepts connections but doesn't respond
     retransmit_factor: float = 3.0  # times log10(members + 2): transmissions of each piece of gossip
--- a/gladewalk/members/dissemination.py
+++ b/gladewalk/members/dissemination.py
@@ -117,7 +117,7 @@
         return True
 
     def forget_event(self, task: str) -> None:
-        """Forgets a task's event and stops its transmission."""
+        """Removes a task's event and stops its transmission."""
         if (known := self.latest_events.pop(task, None)) is not None:
             self.digest ^= claim_hash(known)
         self.queued_events.discard(task)
--- a/gladewalk/members/failure_detector.py
+++ b/gladewalk/members/failure_detector.py
@@ -80,7 +80,7 @@
             context.local.health.improve()
 
     def on_nack(self, nack: Nack) -> None:
-        """Counts a helper that got no ack from the target and could report this to us."""
+        """Counts a helper that received no ack from the target and reported this."""
         self._context.pings.on_nack(nack.sequence)
 
     def shift(self, by_ms: float) -> None:
--- a/gladewalk/members/gossip_state.py
+++ b/gladewalk/members/gossip_state.py
@@ -171,7 +171,7 @@
         if not is_alive and not is_other_run:
             self._respond_to_suspector(update, now_ms)
             self._report(MemberChange.REFUTED, local.name)
-            local.health.worsen()  # others do not receive our messages: the fault may be on the local side
+            local.health.worsen()  # its messages were not received: the fault may be on the local side
 
     def _respond_to_suspector(self, suspicion: MemberUpdate, now_ms: float) -> None:
         """Announces the local member to its suspector, directly and through others, once a ping period.
--- a/gladewalk/members/message_builder.py
+++ b/gladewalk/members/message_builder.py
@@ -55,7 +55,7 @@
         return Nack(**self._header(), **self._gossip(), sequence=sequence)
 
     def ping_request(self, target: MemberUpdate, sequence: int) -> PingRequest:
-        """Builds a request to ping a member on our behalf."""
+        """Builds a request to ping a member on the local member's behalf."""
         return PingRequest(**self._header(), **self._gossip(), **self._target(target), sequence=sequence)
 
     def join(self) -> Join:
--- a/gladewalk/members/stream.py
+++ b/gladewalk/members/stream.py
@@ -32,7 +32,7 @@
 
 LENGTH_PREFIX = struct.Struct(">I")
 LISTEN_BACKLOG = 1_024  # room for the probes of all other members while the process is paused
-STREAM_TIMEOUT_SECONDS = 2.0  # for a whole synchronization, and for receiving and answering a probe
+STREAM_TIMEOUT_SECONDS = 2.0  # for a whole synchronization, and for responding to a probe
 MAX_SYNCS_SERVED = 16  # at the same time: limits memory and file descriptors
 MAX_CONNECTIONS_SERVED = 64  # at the same time: above `MAX_SYNCS_SERVED`, only probes get a response
 
--- a/gladewalk/members/suspicion.py
+++ b/gladewalk/members/suspicion.py
@@ -23,7 +23,7 @@
 from .config import MembershipConfig
 from .member_list import Member
 
-MAX_MEMBERS_ALL_PROBE = 64  # in larger fleets, only members whose own pings failed probe a suspect
+MAX_MEMBERS_ALL_PROBE = 64  # in larger fleets, only the suspectors of a member probe it
 STALL_REPROBE_MS = 2_000.0  # time between probes of a stalled member, which may be killed meanwhile
 RETRY_MS = 50.0  # time until a decision that waits for a probe is made again
 HEALTH_FACTOR = 0.15  # part by which each point of the health score extends an unconfirmed suspicion
@@ -102,8 +102,7 @@
     if member.probe_outcome is None:
         if member.is_death_disputed or may_probe(member, local_name, member_count):
             return SuspicionDecision.PROBE, RETRY_MS
-        if (
-            stall_remaining_ms > 0.0
-        ):  # its suspectors probe it; if they die, it is declared dead after this time
+        # Its suspectors probe it. If they die, it is declared dead after the time that a stall may last.
+        if stall_remaining_ms > 0.0:
             return SuspicionDecision.WAIT, stall_remaining_ms
     return SuspicionDecision.DEAD, 0.0
--- a/gladewalk/members/suspicion_monitor.py
+++ b/gladewalk/members/suspicion_monitor.py
@@ -121,10 +121,8 @@
         member.suspicion_ends_ms = now_ms + retry_ms
         match decision:
             case SuspicionDecision.NOTIFY:
-                member.state_since_ms, member.probe_outcome = (
-                    now_ms,
-                    None,
-                )  # earlier evidence no longer counts
+                # The suspicion starts again: evidence from before the received message no longer counts.
+                member.state_since_ms, member.probe_outcome = now_ms, None
                 self.notify(member, now_ms)
                 self.probe(member, now_ms)
             case SuspicionDecision.PROBE:
--- a/gladewalk/members/swim.py
+++ b/gladewalk/members/swim.py
@@ -218,7 +218,7 @@
         self.dissemination.learn_event(event)
 
     def forget_event(self, task: str) -> None:
-        """Forgets the event of a task that no longer exists."""
+        """Removes the event of a task that no longer exists."""
         self.dissemination.forget_event(task)
 
     def leave(self) -> list[Action]:
--- a/tests/test_members_lifecycle.py
+++ b/tests/test_members_lifecycle.py
@@ -64,9 +64,8 @@
     net = cluster(4, 5)
     for number in range(4):
         net.kill(f"m{number}")
-        net.run(
-            300.0
-        )  # no member has declared it dead yet, and its new run must not be taken for the old one
+        # No member has declared it dead yet; its new run must not be mistaken for the old one.
+        net.run(300.0)
         net.start(f"m{number}", ("m0", "m1"))
         net.run(3_000.0)
     assert_converges(net)
