--- a/tests/test_members_lifecycle.py
+++ b/tests/test_members_lifecycle.py
@@ -88,9 +88,7 @@
         assert_no_deaths(net)
 
 
-def test_a_member_whose_clock_is_outside_the_accepted_window_is_isolated_until_its_clock_is_corrected() -> (
-    None
-):
+def test_a_member_whose_clock_is_outside_the_window_is_isolated_until_it_is_corrected() -> None:
     net = cluster(4, 8)
     net.nodes["m1"].clock_offset_ms = 3_600_000.0
     net.run(10_000.0)
