--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -82,7 +82,7 @@
         async with DirectorHarness([ScriptedServer(hit)]) as harness:
             assert harness.director is not None
             await wait_until(lambda: harness.coordinator.followed_from == [1])
-            harness.director.coordinator_watch._on_silence()  # called when the deadline passes
+            harness.director.coordinator_watch._on_heartbeat_timeout()  # called when the deadline passes
             await wait_until(lambda: harness.coordinator.followed_from == [1, 1])
 
 
