--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' days: readiness and drain decided without I/O, the second address, figures, a hand-over."""
+"""Operations: readiness, drain, the second address, metrics, reload, and handing over the listener."""
 
 import asyncio
 import json
@@ -25,15 +25,15 @@
 from .program import start_program
 
 BODY = b"fish" * 100
-PATIENCE_MS = 60_000.0  # a test that is not about times waits so long, on a busy machine, too
+LONG_TIMEOUT_MS = 60_000.0  # not reached even on a busy machine; for tests that are not about timeouts
 
 
-async def hit(heard: ReceivedRequest) -> None:
-    await heard.answer(200, BODY, X_Remark="mem")
+async def hit(request: ReceivedRequest) -> None:
+    await request.answer(200, BODY, X_Remark="mem")
 
 
-def figures_of(text: bytes) -> dict[str, str]:
-    """The lines `svc.NAME=VALUE` of `GET /ops/stats`, by name."""
+def parse_metrics(text: bytes) -> dict[str, str]:
+    """Returns the values of `GET /ops/stats`, whose lines are `svc.NAME=VALUE`, by name."""
     return dict(line.split("=") for line in text.decode().splitlines())
 
 
@@ -49,19 +49,19 @@
     assert readiness.is_ready and not readiness.is_draining
     readiness.is_stopping = True
     assert not readiness.is_ready
-    readiness.stop_drain()  # a drain's end does not undo a SIGTERM
+    readiness.stop_drain()  # the end of a drain does not cancel the shutdown after SIGTERM
     assert not readiness.is_ready
     assert readiness.is_draining
 
 
-def test_no_yes_before_the_coordinator_has_answered_once() -> None:
+def test_not_ready_before_the_coordinator_has_responded_once() -> None:
     readiness = Readiness(is_started=True, is_synced=False)
     assert not readiness.is_ready
     readiness.is_synced = True
     assert readiness.is_ready
 
 
-def test_a_drain_keeps_its_beginning_and_closes_idle_connections_in_time() -> None:
+def test_repeated_drain_keeps_its_start_and_closes_idle_connections_in_time() -> None:
     readiness = Readiness(is_started=True)
     assert not readiness.may_close_idle(0.0, is_input_empty=True)
     readiness.start_drain(10_000.0)
@@ -71,10 +71,10 @@
     assert readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=True)
     assert not readiness.may_close_idle(10_000.0 + IDLE_CLOSE_GRACE_MS, is_input_empty=False)
     assert readiness.may_close_idle(10_000.0 + MAX_IDLE_DRAIN_MS, is_input_empty=False)
-    assert MAX_IDLE_DRAIN_MS < 4_000.0  # none is held idle when the front stops coming
+    assert MAX_IDLE_DRAIN_MS < 4_000.0  # no idle connection is left when the load balancer stops sending
 
 
-def test_every_class_in_use_or_counted_has_each_end() -> None:
+def test_metrics_have_every_outcome_of_each_configured_or_counted_class() -> None:
     counters = Counters()
     counters.add(outcome_counter("bid", Outcome.COMPLETED), 7)
     counters.add(outcome_counter("gone-class", Outcome.FAILED))
@@ -83,26 +83,27 @@
     text = format_metrics(
         counters, ["bid", "lot-page"], Gauges(pending_requests=3, listed_servers=5, unavailable_servers=1)
     )
-    lines = figures_of(text)
-    assert lines["svc.downstream_requests.bid.completed"] == "7"
-    assert lines["svc.downstream_requests.lot-page.rejected"] == "0"
-    assert lines["svc.downstream_requests.gone-class.failed"] == "1"
-    gauges = ("upstream_requests", "pending", "members", "members_unavailable")
-    assert [lines[f"svc.{name}"] for name in gauges] == ["9", "3", "5", "1"]
-    assert (lines["svc.config_reloads"], lines["svc.config_reload_errors"]) == ("0", "2")
+    values = parse_metrics(text)
+    assert values["svc.downstream_requests.bid.completed"] == "7"
+    assert values["svc.downstream_requests.lot-page.rejected"] == "0"
+    assert values["svc.downstream_requests.gone-class.failed"] == "1"
+    names = ("upstream_requests", "pending", "members", "members_unavailable")
+    assert [values[f"svc.{name}"] for name in names] == ["9", "3", "5", "1"]
+    assert (values["svc.config_reloads"], values["svc.config_reload_errors"]) == ("0", "2")
 
 
-async def exchange(address: Any, line: bytes) -> tuple[int, dict[str, str], bytes]:
-    """One call on a connection of its own: status, fields, body."""
+async def send_request(address: Any, raw_request: bytes) -> tuple[int, dict[str, str], bytes]:
+    """Sends one request on its own connection; returns the response's status, header fields and body."""
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(line)
-    first, fields, body = await read_message(reader)
+    writer.write(raw_request)
+    status_line, fields, body = await read_message(reader)
     writer.close()
-    return int(first.split(" ")[1]), fields, body
+    return int(status_line.split(" ")[1]), fields, body
 
 
-async def call(address: Any, line: bytes) -> tuple[int, bytes]:
-    status, _, body = await exchange(address, line)
+async def fetch(address: Any, raw_request: bytes) -> tuple[int, bytes]:
+    """Sends one request like `send_request`; returns the response's status and body."""
+    status, _, body = await send_request(address, raw_request)
     return status, body
 
 
@@ -120,32 +121,32 @@
     async def asyncTearDown(self) -> None:
         self.admin.close()
 
-    async def test_calls_are_answered_by_path_and_method_and_bad_ones_are_refused(self) -> None:
+    async def test_requests_are_routed_by_path_and_method_and_invalid_ones_rejected(self) -> None:
         address = self.admin.address
-        self.assertEqual(await call(address, encode_request("/ops/readiness")), (200, b"ready\n"))
-        self.assertEqual((await call(address, encode_request("/ops/nothing")))[0], 404)
-        self.assertEqual((await call(address, encode_request("/ops/readiness", method="PUT")))[0], 405)
-        self.assertEqual((await call(address, b"\x00\x01 nonsense\r\n\r\n"))[0], 400)
+        self.assertEqual(await fetch(address, encode_request("/ops/readiness")), (200, b"ready\n"))
+        self.assertEqual((await fetch(address, encode_request("/ops/nothing")))[0], 404)
+        self.assertEqual((await fetch(address, encode_request("/ops/readiness", method="PUT")))[0], 405)
+        self.assertEqual((await fetch(address, b"\x00\x01 nonsense\r\n\r\n"))[0], 400)
         self.assertEqual((self.counters["admin.unknown_path"], self.counters["admin.wrong_method"]), (1, 1))
 
-    async def test_silent_callers_cost_a_bounded_descriptor_and_timer_and_block_nobody(self) -> None:
-        silent = [
+    async def test_idle_connections_are_limited_then_closed_and_do_not_block_others(self) -> None:
+        idle_connections = [
             await asyncio.open_connection(*self.admin.address) for _ in range(MAX_ADMIN_CONNECTIONS + 8)
         ]
-        half = silent[0][1]
-        half.write(b"GET /ops/read")
-        self.assertEqual(await call(self.admin.address, encode_request("/ops/readiness")), (200, b"ready\n"))
+        partial_sender = idle_connections[0][1]
+        partial_sender.write(b"GET /ops/read")
+        self.assertEqual(await fetch(self.admin.address, encode_request("/ops/readiness")), (200, b"ready\n"))
         await wait_until(lambda: len(self.admin.connections) <= MAX_ADMIN_CONNECTIONS)
         self.now += CALL_TIMEOUT_MS
         self.deadlines.sweep(self.now)
         await wait_until(lambda: not self.admin.connections)
-        for reader, writer in silent:
-            self.assertEqual(await reader.read(), b"")  # closed, unanswered
+        for reader, writer in idle_connections:
+            self.assertEqual(await reader.read(), b"")  # closed without a response
             writer.close()
         self.assertGreaterEqual(self.counters["admin.calls_unfinished"], MAX_ADMIN_CONNECTIONS)
 
 
-class Program(unittest.IsolatedAsyncioTestCase):
+class DirectorProcess(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.cache, self.coordinator = await ScriptedServer(hit).start(), await Coordinator().start()
         self.config = {**config_for([self.cache], self.coordinator), "admin_addr": "127.0.0.1:0"}
@@ -159,50 +160,51 @@
     def write(self, config: dict[str, Any]) -> None:
         self.file.write_text(json.dumps(config))
 
-    async def test_a_drain_says_no_serves_kept_connections_closes_them_and_ends_with_a_yes(self) -> None:
+    async def test_drain_reports_unready_serves_open_connections_and_closes_them(self) -> None:
         program = await start_program(self.file)
         serving = await program.event("serving")
         admin, listen = serving["admin"], serving["listen"]
-        self.assertEqual(await call(admin, encode_request("/ops/readiness")), (200, b"ready\n"))
-        kept_reader, kept = await asyncio.open_connection(*listen)
-        resting_reader, resting = await asyncio.open_connection(*listen)
-        for writer, reader in ((kept, kept_reader), (resting, resting_reader)):
+        self.assertEqual(await fetch(admin, encode_request("/ops/readiness")), (200, b"ready\n"))
+        active_reader, active_writer = await asyncio.open_connection(*listen)
+        idle_reader, idle_writer = await asyncio.open_connection(*listen)
+        for writer, reader in ((active_writer, active_reader), (idle_writer, idle_reader)):
             writer.write(encode_request("/invoke/lot-page/a1?nth=0"))
             self.assertEqual((await read_message(reader))[2], BODY)
-        self.assertEqual((await call(admin, encode_request("/ops/drain/start", method="PUT")))[0], 200)
-        self.assertEqual((await call(admin, encode_request("/ops/readiness")))[0], 503)
-        health_reader, health = await asyncio.open_connection(*listen)
-        # The front's own check says no as well, and when to ask again.
-        health.write(encode_request("/_health"))
-        first, fields, _ = await read_message(health_reader)
-        self.assertEqual((first.split(" ")[1], fields.get("retry-after")), ("503", "1"))
-        health.close()
-        # A kept connection is still served, then closed.
-        kept.write(encode_request("/invoke/lot-page/a1?nth=0"))
-        first, fields, body = await read_message(kept_reader)
-        self.assertEqual((" 200 " in first, fields.get("connection"), body), (True, "close", BODY))
-        self.assertEqual(await kept_reader.read(), b"")
-        self.assertEqual(await resting_reader.read(), b"")  # one at rest is closed within the drain
-        status, fields, body = await read_message_on(listen)  # a new connection is served, too
+        self.assertEqual((await fetch(admin, encode_request("/ops/drain/start", method="PUT")))[0], 200)
+        self.assertEqual((await fetch(admin, encode_request("/ops/readiness")))[0], 503)
+        health_reader, health_writer = await asyncio.open_connection(*listen)
+        # The health check at the clients' address also fails, and tells when to retry.
+        health_writer.write(encode_request("/_health"))
+        status_line, fields, _ = await read_message(health_reader)
+        self.assertEqual((status_line.split(" ")[1], fields.get("retry-after")), ("503", "1"))
+        health_writer.close()
+        # A request on an open connection is served, and then the connection is closed.
+        active_writer.write(encode_request("/invoke/lot-page/a1?nth=0"))
+        status_line, fields, body = await read_message(active_reader)
+        self.assertEqual((" 200 " in status_line, fields.get("connection"), body), (True, "close", BODY))
+        self.assertEqual(await active_reader.read(), b"")
+        self.assertEqual(await idle_reader.read(), b"")  # idle connections are closed during the drain
+        status, fields, body = await read_message_on(listen)  # new connections are served as well
         self.assertEqual((status, body), (200, BODY))
-        self.assertEqual((await call(admin, encode_request("/ops/drain/stop", method="PUT")))[0], 200)
-        self.assertEqual(await call(admin, encode_request("/ops/readiness")), (200, b"ready\n"))
-        self.assertEqual((await call(listen, encode_request("/_health")))[0], 200)
-        figures = figures_of((await call(admin, encode_request("/ops/stats")))[1])
-        self.assertEqual(figures["svc.downstream_requests.lot-page.completed"], "4")  # as the client saw
-        self.assertEqual(figures["svc.upstream_requests"], str(len(self.cache.received)))
-        self.assertEqual((figures["svc.pending"], figures["svc.members"]), ("0", "1"))
+        self.assertEqual((await fetch(admin, encode_request("/ops/drain/stop", method="PUT")))[0], 200)
+        self.assertEqual(await fetch(admin, encode_request("/ops/readiness")), (200, b"ready\n"))
+        self.assertEqual((await fetch(listen, encode_request("/_health")))[0], 200)
+        metrics = parse_metrics((await fetch(admin, encode_request("/ops/stats")))[1])
+        # The count equals the number of responses that the clients received.
+        self.assertEqual(metrics["svc.downstream_requests.lot-page.completed"], "4")
+        self.assertEqual(metrics["svc.upstream_requests"], str(len(self.cache.received)))
+        self.assertEqual((metrics["svc.pending"], metrics["svc.members"]), ("0", "1"))
         self.assertEqual(await program.stop(), 0)
-        for writer in (kept, resting):
+        for writer in (active_writer, idle_writer):
             writer.close()
 
-    async def test_a_broken_file_is_taken_from_not_at_all_and_a_good_one_brings_its_classes(self) -> None:
+    async def test_reload_ignores_an_invalid_file_and_applies_the_classes_of_a_valid_one(self) -> None:
         program = await start_program(self.file)
         serving = await program.event("serving")
         admin, listen = serving["admin"], serving["listen"]
         settings = self.config["settings"]
         page = settings["classes"][1]
-        broken = [
+        invalid_files = [
             "",
             json.dumps(self.config)[:-40],
             json.dumps({key: value for key, value in self.config.items() if key != "settings"}),
@@ -210,46 +212,47 @@
             json.dumps({**self.config, "settings": {**settings, "limits": {"most_tries": -1}}}),
             json.dumps({**self.config, "settings": {**settings, "classes": [{**page, "give_up_ms": "3s"}]}}),
         ]
-        whys = []
-        for text in broken:
+        reasons = []
+        for text in invalid_files:
             self.file.write_text(text)
             program.send(signal.SIGHUP)
-            whys.append((await program.event("configuration kept"))["why"])
-        self.assertTrue(all(why.startswith(f"{self.file}: ") for why in whys))
-        self.assertIn("settings.classes[0].give_up_ms: not a positive number", whys[3])
-        self.assertIn("settings.limits.most_tries: not a positive number", whys[4])
-        self.assertEqual((await read_message_on(listen))[0], 200)  # lot-page, as before
-        figures = figures_of((await call(admin, encode_request("/ops/stats")))[1])
-        self.assertEqual((figures["svc.config_reloads"], figures["svc.config_reload_errors"]), ("0", "6"))
-        fish = {**page, "name": "fish-auction"}
-        self.write({**self.config, "settings": {**settings, "classes": [fish]}})
+            reasons.append((await program.event("configuration kept"))["why"])
+        self.assertTrue(all(reason.startswith(f"{self.file}: ") for reason in reasons))
+        self.assertIn("settings.classes[0].give_up_ms: not a positive number", reasons[3])
+        self.assertIn("settings.limits.most_tries: not a positive number", reasons[4])
+        self.assertEqual((await read_message_on(listen))[0], 200)  # lot-page is still configured
+        metrics = parse_metrics((await fetch(admin, encode_request("/ops/stats")))[1])
+        self.assertEqual((metrics["svc.config_reloads"], metrics["svc.config_reload_errors"]), ("0", "6"))
+        new_class = {**page, "name": "fish-auction"}
+        self.write({**self.config, "settings": {**settings, "classes": [new_class]}})
         program.send(signal.SIGHUP)
         await program.event("configuration taken")
         self.assertEqual((await read_message_on(listen, "/invoke/fish-auction/a1?nth=0"))[0], 200)
-        self.assertEqual((await read_message_on(listen))[0], 404)  # lot-page is gone
-        figures = figures_of((await call(admin, encode_request("/ops/stats")))[1])
-        self.assertEqual((figures["svc.config_reloads"], figures["svc.config_reload_errors"]), ("1", "6"))
-        self.assertEqual(figures["svc.downstream_requests.fish-auction.completed"], "1")
-        self.assertEqual(figures["svc.downstream_requests.lot-page.completed"], "1")  # gone, and kept
+        self.assertEqual((await read_message_on(listen))[0], 404)  # lot-page is no longer configured
+        metrics = parse_metrics((await fetch(admin, encode_request("/ops/stats")))[1])
+        self.assertEqual((metrics["svc.config_reloads"], metrics["svc.config_reload_errors"]), ("1", "6"))
+        self.assertEqual(metrics["svc.downstream_requests.fish-auction.completed"], "1")
+        # The counts of a class are kept when it is no longer configured.
+        self.assertEqual(metrics["svc.downstream_requests.lot-page.completed"], "1")
         self.assertEqual(await program.stop(), 0)
 
-    async def test_the_listener_is_handed_over_as_descriptor_3_and_no_request_is_refused(self) -> None:
+    async def test_listener_handed_over_as_descriptor_3_rejects_no_request(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.addCleanup(listener.close)
         address = listener.getsockname()
         self.write({**self.config, "listen": "127.0.0.1:1"})
         old = await start_program(self.file, listener_fd=listener.fileno())
         await old.event("serving")
-        asking = asyncio.ensure_future(keep_asking(address))
+        client = asyncio.ensure_future(send_requests_until_stopped(address))
         await wait_until(lambda: len(self.cache.received) >= 5)
         new = await start_program(self.file, listener_fd=listener.fileno())
         serving = await new.event("serving")
-        self.assertEqual(await call(serving["admin"], encode_request("/ops/readiness")), (200, b"ready\n"))
+        self.assertEqual(await fetch(serving["admin"], encode_request("/ops/readiness")), (200, b"ready\n"))
         self.assertEqual(await old.stop(), 0)
-        seen = len(self.cache.received)
-        # The new one serves from the same queue.
-        await wait_until(lambda: len(self.cache.received) >= seen + 5)
-        statuses = await stop_asking(asking)
+        received_count = len(self.cache.received)
+        # The new process accepts connections from the same queue.
+        await wait_until(lambda: len(self.cache.received) >= received_count + 5)
+        statuses = await stop_client(client)
         self.assertEqual(set(statuses), {200})
         await new.stop()
 
@@ -257,45 +260,51 @@
 async def read_message_on(
     address: Any, path: str = "/invoke/lot-page/a1?nth=0"
 ) -> tuple[int, dict[str, str], bytes]:
-    return await exchange(address, encode_request(path))
+    return await send_request(address, encode_request(path))
 
 
 STOP = asyncio.Event()
 
 
-async def keep_asking(address: Any) -> list[int]:
+async def send_requests_until_stopped(address: Any) -> list[int]:
     statuses: list[int] = []
     while not STOP.is_set() and len(statuses) < 5_000:
         statuses.append((await read_message_on(address))[0])
     return statuses
 
 
-async def stop_asking(asking: "asyncio.Future[list[int]]") -> list[int]:
+async def stop_client(client: "asyncio.Future[list[int]]") -> list[int]:
     STOP.set()
     try:
-        return await asking
+        return await client
     finally:
         STOP.clear()
 
 
 class Start(unittest.IsolatedAsyncioTestCase):
-    async def test_requests_wait_for_the_coordinator_and_miss_a_cache_drained_meanwhile(self) -> None:
+    async def test_requests_wait_for_the_coordinator_and_avoid_a_cache_that_drains(self) -> None:
         first, second = ScriptedServer(hit, "c1"), ScriptedServer(hit, "c2")
         coordinator = await Coordinator(may_answer=asyncio.Event()).start()
         for peer in (first, second):
             await peer.start()
-        patient = {**SETTINGS, "limits": {**SETTINGS["limits"], "connect_timeout_ms": PATIENCE_MS}}
-        config = read_config(config_for([first, second], coordinator, patient), {})  # it knows both as ready
-        drained = {**first.target(), "state": "DRAINING"}
-        coordinator.events.append({"index": 2, "endpoints": {"rev": 2, "all": False, "targets": [drained]}})
+        patient_settings = {
+            **SETTINGS,
+            "limits": {**SETTINGS["limits"], "connect_timeout_ms": LONG_TIMEOUT_MS},
+        }
+        # The configuration file lists both caches as serving.
+        config = read_config(config_for([first, second], coordinator, patient_settings), {})
+        draining_entry = {**first.target(), "state": "DRAINING"}
+        coordinator.events.append(
+            {"index": 2, "endpoints": {"rev": 2, "all": False, "targets": [draining_entry]}}
+        )
         director = Director(config, asyncio.get_running_loop())
-        director.max_sync_wait_ms = 600_000.0  # the coordinator's answer, not a time, ends the wait here
+        director.max_sync_wait_ms = 600_000.0  # only the coordinator's response ends the wait
         await director.start()
         self.assertFalse(director.readiness.is_ready)
         clients = [await asyncio.open_connection(*director.front.address) for _ in range(8)]
-        for key, (_, writer) in enumerate(clients, 1):  # homes on both caches, by hash
+        for key, (_, writer) in enumerate(clients, 1):  # the objects' homes are on both caches
             path = f"/invoke/lot-page/{key:x}?nth=0"
-            writer.write(encode_request(path, trace=f"{key:016x}", wait_ms=PATIENCE_MS))
+            writer.write(encode_request(path, trace=f"{key:016x}", wait_ms=LONG_TIMEOUT_MS))
         await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 8)
         self.assertEqual((first.received, second.received), ([], []))
         assert coordinator.may_answer is not None
