--- a/gladewalk/optional_parts.py
+++ b/gladewalk/optional_parts.py
@@ -143,7 +143,7 @@
 def build_control(
     options: Options | None,
     counters: Counters,
-    duties: TaskRunner | None,
+    task_runner: TaskRunner | None,
     store: PersistenceService | None,
     leases: tuple[LeaseService, LeaseAddress] | None,
 ) -> ControlServer | None:
@@ -153,10 +153,10 @@
     from .control.server import ControlServer
 
     control = ControlServer(options.resolve_path(options.control.socket), counters)
-    if duties is not None:
+    if task_runner is not None:
         from .duties.view import membership_status
 
-        control.handlers["members"] = lambda _: membership_status(duties)
+        control.handlers["members"] = lambda _: membership_status(task_runner)
     if store is not None:
         control.handlers["store"] = lambda arguments: store.status()
     if leases is not None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -134,8 +134,8 @@
         async with DirectorHarness(caches, options=build_options(tables, "t", folder)) as harness:
             director = harness.director
             assert director is not None and director.task_runner is not None and director.members is not None
-            duties = director.task_runner
-            await wait_until(lambda: len(duties.owned_tasks()) == 3)
+            task_runner = director.task_runner
+            await wait_until(lambda: len(task_runner.owned_tasks()) == 3)
 
             def run(*flags: str) -> tuple[int, str]:
                 command_line = ["members", "--config", str(folder / "g.toml"), *flags]
