--- a/gladewalk/director.py
+++ b/gladewalk/director.py
@@ -190,7 +190,7 @@
         return addresses
 
     def _on_synced(self) -> None:
-        """Releases the buffered requests once the coordinator has responded or `max_sync_wait_ms` has passed."""
+        """Releases buffered requests once the coordinator has responded or `max_sync_wait_ms` has passed."""
         if not self.readiness.is_synced:
             self.readiness.is_synced = True
             self.exchange.release_buffered_requests()
