--- a/gladewalk/upstream/protocol_fields.py
+++ b/gladewalk/upstream/protocol_fields.py
@@ -36,25 +36,25 @@
 
 def request_fields(attempt: Attempt, now_ms: float) -> list[tuple[str, str]]:
     """Returns the fields of an attempt's request, without method, path and authority."""
-    request, order = attempt.open_request.request, attempt.decision
+    request, decision = attempt.open_request.request, attempt.decision
     remaining_ms = max(1, round(attempt.deadline_ms - now_ms))
     fields = [("X-Ticket", request.trace_id), ("X-Max-Ms", str(remaining_ms))]
     if request.idempotency_key:
         fields.append(("X-Nonce", request.idempotency_key))
-    if isinstance(order, api.Fetch):
-        if order.source != order.server:  # if the source is the server itself, there is no fill
-            fields.append(("Miss-To", order.source))
-        if order.cache_rank:
-            fields.append(("Store-As", str(order.cache_rank)))
-        if order.max_age_ms > 0:
-            fields.append(("No-Older-Than", str(max(1, int(order.max_age_ms)))))
+    if isinstance(decision, api.Fetch):
+        if decision.source != decision.server:  # if the source is the server itself, there is no fill
+            fields.append(("Miss-To", decision.source))
+        if decision.cache_rank:
+            fields.append(("Store-As", str(decision.cache_rank)))
+        if decision.max_age_ms > 0:
+            fields.append(("No-Older-Than", str(max(1, int(decision.max_age_ms)))))
         directives = [
             directive
             for directive, is_set in (
-                ("ride", order.join_fill),
-                ("have-only", order.cached_only),
-                ("through", not order.parent_caches),
-                ("update", order.revalidate),
+                ("ride", decision.join_fill),
+                ("have-only", decision.cached_only),
+                ("through", not decision.parent_caches),
+                ("update", decision.revalidate),
             )
             if is_set
         ]
