--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -7,7 +7,7 @@
 
 from ..errors import GladewalkError
 from ..leases.configuration import LeaseConfig
-from ..leases.history import check
+from ..leases.history import check_history
 from ..leases.messages import decode, encode
 from ..leases.outputs import Output, Save, Send
 from ..rehearsal.lease_simulation import TASKS, LeaseSimulation, SimulatedDirector
@@ -124,7 +124,7 @@
     injector.is_counting = False
     simulation.run_until(END_MS)
     records = simulation.fence.records
-    verdict, overlaps = check(records, END_MS), simulation.beliefs.count_overlaps()
+    verdict, overlaps = check_history(records, END_MS), simulation.beliefs.count_overlaps()
     if not verdict.is_safe or overlaps:
         return f"{verdict} and {overlaps} beliefs that cross"
     held = {
--- a/gladewalk/leases/history.py
+++ b/gladewalk/leases/history.py
@@ -83,7 +83,7 @@
     return Verdict(overlaps, stale_accepted, unexplained, max_gap_ms, len(records), rejections)
 
 
-def check(
+def check_history(
     records: Iterable[OperationRecord], end_ms: float | None = None, excused: Sequence[TimeSpan] = ()
 ) -> Verdict:
     """Returns the verdict over all tasks of one resource; `end_ms` and `excused` are on its clock."""
@@ -111,8 +111,8 @@
     Each resource has a fence of its own, so tokens are judged one resource at a time; holders are judged over
     all, since two that operate on two resources at once are two holders.
     """
-    verdicts = [check(records, end_ms, excused) for records in histories]
-    everything = check(
+    verdicts = [check_history(records, end_ms, excused) for records in histories]
+    everything = check_history(
         sorted(itertools.chain.from_iterable(histories), key=lambda record: record.received_at_ms)
     )
     return Verdict(
--- a/gladewalk/rehearsal/lease_simulation.py
+++ b/gladewalk/rehearsal/lease_simulation.py
@@ -22,7 +22,7 @@
 from ..leases.configuration import LeaseConfig, majority
 from ..leases.dispatch import dispatch_election_message
 from ..leases.fence import Fence
-from ..leases.history import TimeSpan, Verdict, check
+from ..leases.history import TimeSpan, Verdict, check_history
 from ..leases.messages import ElectionMessage, decode, encode
 from ..leases.outputs import GrantRecord, Output, Save, Send, decode_grant
 from ..leases.voter import Voter
@@ -112,7 +112,7 @@
 
     def verdict(self) -> Verdict:
         """Judges the resource's record up to now, and counts overlapping beliefs as overlaps."""
-        verdict = check(self.fence.records, self.now_ms, self.excused)
+        verdict = check_history(self.fence.records, self.now_ms, self.excused)
         return dataclasses.replace(verdict, overlaps=verdict.overlaps + self.beliefs.count_overlaps())
 
     # A director's loop.
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 from gladewalk.leases.configuration import LeaseConfig
 from gladewalk.leases.dispatch import dispatch_election_message
 from gladewalk.leases.fence import Fence, OperationRecord
-from gladewalk.leases.history import Verdict, check
+from gladewalk.leases.history import Verdict, check_history
 from gladewalk.leases.messages import (
     ElectionMessage,
     LeaseRelease,
@@ -232,23 +232,23 @@
     fence = Fence()
     assert fence.admit("d", 2, "a", 0.0, 1.0) and not fence.admit("d", 1, "b", -1.0, 2.0)
     assert fence.admit("d", 2, "a", 3.0, 3.0) and fence.rejected_count == 1
-    assert check(fence.records).is_safe
+    assert check_history(fence.records).is_safe
     broken = [OperationRecord("d", 2, "a", 0.0, 1.0, True), OperationRecord("d", 1, "b", -1.0, 2.0, True)]
-    verdict = check(broken)
+    verdict = check_history(broken)
     assert verdict.stale_accepted == 1 and verdict.overlaps == 0
     crossing = [
         OperationRecord("d", 1, "a", 0.0, 1.0, True),
         OperationRecord("d", 2, "b", 5.0, 6.0, True),
         OperationRecord("d", 1, "a", 6.0, 7.0, False),
     ]
-    assert check(crossing).overlaps == 1
-    assert check([OperationRecord("d", 1, "a", 0.0, 1.0, False)]).unexplained_rejections == 1
+    assert check_history(crossing).overlaps == 1
+    assert check_history([OperationRecord("d", 1, "a", 0.0, 1.0, False)]).unexplained_rejections == 1
 
 
 def test_the_longest_gap_without_a_holder_leaves_out_what_is_excused() -> None:
     records = [OperationRecord("d", 1, "a", at_ms, at_ms, True) for at_ms in (0.0, 100.0, 2_100.0)]
-    assert check(records, end_ms=2_200.0).max_gap_ms == 2_000.0
-    assert check(records, end_ms=2_200.0, excused=[(500.0, 1_500.0)]).max_gap_ms == 1_000.0
+    assert check_history(records, end_ms=2_200.0).max_gap_ms == 2_000.0
+    assert check_history(records, end_ms=2_200.0, excused=[(500.0, 1_500.0)]).max_gap_ms == 1_000.0
 
 
 def story(
@@ -258,7 +258,7 @@
     simulation.schedule(faults)
     simulation.start()
     simulation.run_until(length_ms)
-    return simulation, check(simulation.fence.records, length_ms, simulation.excused)
+    return simulation, check_history(simulation.fence.records, length_ms, simulation.excused)
 
 
 def holder(simulation: LeaseSimulation, task: str = "purge") -> str:
