--- a/tests/fleet_test_case.py
+++ b/tests/fleet_test_case.py
@@ -22,7 +22,7 @@
     return time.time() * 1000.0
 
 
-async def becomes_true(is_true: Callable[[], bool], within_s: float = SETTLE_S) -> bool:
+async def wait_until_true(is_true: Callable[[], bool], within_s: float = SETTLE_S) -> bool:
     """Whether a condition comes to hold in time."""
     end_s = time.monotonic() + within_s
     while not is_true():
@@ -53,13 +53,13 @@
         members: dict[str, Any] | None = None,
         clock_rates: dict[str, float] | None = None,
         servers: tuple[StandInServer[Any], ...] = (),
-        more: dict[str, Any] | None = None,
+        extra_tables: dict[str, Any] | None = None,
     ) -> Fleet:
         """Starts directors `n0`, `n1`, ... (see `Fleet`); the number of directors is the seed."""
         names = tuple(f"n{number}" for number in range(director_count))
         config = config_for(servers, self.coordinator)
         folder = Path(self.folder.name)
-        self.fleet = await Fleet(folder, names, config, director_count, leases, members, more).open()
+        self.fleet = await Fleet(folder, names, config, director_count, leases, members, extra_tables).open()
         for name in names:
             await self.fleet.start(name, (clock_rates or {}).get(name, 1.0))
         return self.fleet
@@ -72,10 +72,10 @@
     ) -> Fleet:
         """Starts a fleet with leases, and waits until the purge lease is held."""
         fleet = await self.start_fleet(director_count, {}, clock_rates=clock_rates, servers=servers)
-        await self.holder_since(unix_now_ms())
+        await self.wait_for_holder(unix_now_ms())
         return fleet
 
-    async def holder_since(self, since_ms: float, within_s: float = SETTLE_S) -> str:
+    async def wait_for_holder(self, since_ms: float, within_s: float = SETTLE_S) -> str:
         """Waits for an operation under the purge lease after `since_ms`: its holder, or '' for none."""
         end_s = time.monotonic() + within_s
         while time.monotonic() < end_s:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -29,7 +29,7 @@
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
-from tests.fleet_test_case import FleetTestCase, becomes_true
+from tests.fleet_test_case import FleetTestCase, wait_until_true
 from tests.test_fleet_works import command
 
 MAX_STALL_MS = MembershipConfig().max_stall_ms
@@ -67,14 +67,14 @@
 async def inject_faults(fleet: Fleet, case: FaultCase) -> str:
     for name in fleet.names:
         await fleet.start(name)
-    if not await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
+    if not await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
         return "the members did not converge after their start"
     await asyncio.sleep(STABLE_SECONDS)
     begun_ms, faults = time.time() * 1000.0, case.faults(fleet.names)
     await play_schedule(fleet, faults)
     if case.kind == FaultKind.KILL:  # members would count as converged until the killed one has restarted
-        await becomes_true(lambda: start_count(fleet, faults[0].targets[0]) == 2, RESTART_SECONDS)
-    if not await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
+        await wait_until_true(lambda: start_count(fleet, faults[0].targets[0]) == 2, RESTART_SECONDS)
+    if not await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
         return f"no convergence after the fault: {history_of(fleet.observed_changes())}"
     await asyncio.sleep(STABLE_SECONDS)  # the members must stay converged for this time
     changes = fleet.observed_changes()
@@ -105,7 +105,7 @@
 class MembersView(FleetTestCase):
     async def test_a_paused_member_is_shown_and_logged_as_stalled_and_stays_a_member(self) -> None:
         fleet = await self.start_fleet(3, None, {})
-        assert await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS)
+        assert await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS)
 
         def changes_at_n0(member: str) -> list[MemberChange]:
             changes = fleet.observed_changes()
@@ -114,14 +114,14 @@
 
         fleet.signal("n2", signal.SIGSTOP)
         try:
-            assert await becomes_true(lambda: MemberChange.STALLED in changes_at_n0("n2"))
+            assert await wait_until_true(lambda: MemberChange.STALLED in changes_at_n0("n2"))
             code, output = await asyncio.to_thread(command, fleet, "members", "--json", "n0")
             (row,) = [row for row in json.loads(output)["members"] if row["name"] == "n2"]
             assert code == 0 and row["state"] == "suspect" and row["stalled"], row
             assert row["knocked"] == "silent" and row["heard_ms"] > 0.0 and "health" in row
         finally:
             fleet.signal("n2", signal.SIGCONT)
-        assert await becomes_true(lambda: changes_at_n0("n2")[-1:] == [MemberChange.CLEARED])
+        assert await wait_until_true(lambda: changes_at_n0("n2")[-1:] == [MemberChange.CLEARED])
         (line,) = [
             line
             for line in fleet.read_log("n0")
@@ -141,15 +141,15 @@
         caches = tuple([await ScriptedServer(answer, uid=f"c{number}").start() for number in range(8)])
         try:
             more = {"duties": {"probe_ms": CHECK_INTERVAL_MS, "check_ms": 0.0}}
-            fleet = await self.start_fleet(3, None, {}, servers=caches, more=more)
-            assert await becomes_true(
+            fleet = await self.start_fleet(3, None, {}, servers=caches, extra_tables=more)
+            assert await wait_until_true(
                 lambda: has_converged(fleet) and len(checked_ms) == len(caches), CONVERGE_SECONDS
             )
             await asyncio.sleep(2.0)
             begun_ms = time.monotonic() * 1000.0
             for kind in (FaultKind.PAUSE, FaultKind.KILL, FaultKind.CUT_OUT):
                 await play_schedule(fleet, [Fault(0.0, 5_000.0, kind, ("n2",))])
-                assert await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS), kind
+                assert await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS), kind
             ended_ms = time.monotonic() * 1000.0
             times_ms = {uid: [at for at in times if at >= begun_ms] for uid, times in checked_ms.items()}
             gaps_ms = {
--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -11,7 +11,7 @@
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
-from tests.fleet_test_case import FleetTestCase, becomes_true, unix_now_ms
+from tests.fleet_test_case import FleetTestCase, wait_until_true, unix_now_ms
 from tests.test_ops import hit
 
 
@@ -28,11 +28,11 @@
 class Works(FleetTestCase):
     async def purged(self, fleet: Fleet, ids: list[str], within_s: float = 8.0) -> bool:
         """Whether every hub has done every one of these purges."""
-        return await becomes_true(lambda: all(set(ids) <= set(hub.purges) for hub in fleet.hubs), within_s)
+        return await wait_until_true(lambda: all(set(ids) <= set(hub.purges) for hub in fleet.hubs), within_s)
 
     async def test_a_purge_ordered_anywhere_is_done_once_at_every_hub_whoever_dies(self) -> None:
         fleet = await self.start_lease_fleet(3)
-        holder = await self.holder_since(unix_now_ms())
+        holder = await self.wait_for_holder(unix_now_ms())
         other = next(name for name in fleet.names if name != holder)
         code, said = await asyncio.to_thread(command, fleet, "purge", "o:7f3a9c21", other)
         assert code == 0, said
@@ -69,7 +69,7 @@
 
     async def test_an_order_that_a_minority_alone_can_keep_is_not_acknowledged_until_it_heals(self) -> None:
         fleet = await self.start_lease_fleet(3)
-        holder = await self.holder_since(
+        holder = await self.wait_for_holder(
             unix_now_ms()
         )  # it could forward at once: what hubs took needs no keepers
         alone = next(name for name in fleet.names if name != holder)
@@ -83,7 +83,7 @@
 
     async def test_a_lease_is_handed_on_by_name_and_only_by_its_holder(self) -> None:
         fleet = await self.start_lease_fleet(3)
-        holder = await self.holder_since(unix_now_ms())
+        holder = await self.wait_for_holder(unix_now_ms())
         to, third = (name for name in fleet.names if name != holder)
         code, said = await asyncio.to_thread(command, fleet, "hand-on", "purge", "--to", to, third)
         assert code == 2 and f"purge is not held by {third}" in said, said
@@ -93,7 +93,7 @@
         code, said = await asyncio.to_thread(command, fleet, "hand-on", "purge", "--to", to, holder)
         assert code == 0 and f"to {to}" in said, said
         records = fleet.hubs[0].fence.records
-        assert await becomes_true(
+        assert await wait_until_true(
             lambda: any(
                 record.holder == to and record.is_accepted and record.received_at_ms > begun
                 for record in records
@@ -122,12 +122,12 @@
                 return bool(reports) and reports[-1]["totals"].get("served") == served \
                     and reports[-1]["missing"] == missing  # fmt: skip
 
-            assert await becomes_true(lambda: told(12, [])), reports[-1:]
+            assert await wait_until_true(lambda: told(12, [])), reports[-1:]
             assert fleet.collector.rows["n0"]["served"] == 7 and fleet.collector.rows["n1"]["served"] == 5
             await fleet.kill("n0")  # what it served was served; after its start it counts anew
-            assert await becomes_true(lambda: told(12, ["n0"])), reports[-1:]
+            assert await wait_until_true(lambda: told(12, ["n0"])), reports[-1:]
             await fleet.start("n0")
-            assert await becomes_true(lambda: told(12, [])), reports[-1:]
+            assert await wait_until_true(lambda: told(12, [])), reports[-1:]
             assert self.verdict().is_safe, self.verdict()
         finally:
             cache.stop()
