--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -11,7 +11,7 @@
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
-from tests.fleet_test_case import FleetTestCase, wait_until_true, unix_now_ms
+from tests.fleet_test_case import FleetTestCase, unix_now_ms, wait_until_true
 from tests.test_ops import hit
 
 
