--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -55,7 +55,7 @@
     else:
 
         def respond_later(request: Http2Request) -> None:
-            loop.call_later(delay_seconds, lambda: request.answer(200, body))
+            loop.call_later(delay_seconds, lambda: request.respond(200, body))
 
         context = None
         if kind == "tls":
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -55,7 +55,7 @@
         """Records a check and answers it."""
         check = ReceivedCheck(time.monotonic(), request.writer)
         self.checks.setdefault(request.server.uid, []).append(check)
-        await request.answer(200, X_Meter="util:0.2")
+        await request.respond(200, X_Meter="util:0.2")
 
 
 class Fleet:
--- a/benchmarks/lease_kills.py
+++ b/benchmarks/lease_kills.py
@@ -75,7 +75,7 @@
 async def serve_warm(request: ReceivedRequest) -> None:
     """Answers as a server at full capacity does."""
     await asyncio.sleep(TRANSFER_MS / 1_000.0)
-    await request.answer(200, b"copy", X_Remark="mem")
+    await request.respond(200, b"copy", X_Remark="mem")
 
 
 async def resolve(run: DirectorProcess, server: SlowStartServer, draw: random.Random, source: str) -> None:
--- a/benchmarks/silent_box.py
+++ b/benchmarks/silent_box.py
@@ -68,7 +68,7 @@
         if heard.path == "/load":
             self.health_checks += 1
         if heard.server.uid != self.silent:
-            return await heard.answer(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
+            return await heard.respond(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
         if heard.path != "/load":
             self.attempts += 1
             self.last_attempt_seconds = time.monotonic() - self.silent_since
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -54,7 +54,7 @@
             max_age_ms = float(heard.headers.get("no-older-than", "1e12"))
             # The oldest copy that will do, by the server's clock, must not be from before the purge.
             self.violation_count += time.time() * 1000.0 - max_age_ms < self.purged_at_ms[name]
-        await heard.answer(200, b"copy", X_Remark="mem")
+        await heard.respond(200, b"copy", X_Remark="mem")
 
 
 async def send_load(director: DirectorProcess, draw: random.Random) -> None:
--- a/benchmarks/store_served.py
+++ b/benchmarks/store_served.py
@@ -46,7 +46,7 @@
 
 async def serve(heard: ReceivedRequest) -> None:
     """Answers as a cache that has every object."""
-    await heard.answer(200, b"copy", X_Remark="mem")
+    await heard.respond(200, b"copy", X_Remark="mem")
 
 
 async def send_requests(
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -72,7 +72,7 @@
 
 async def answer_found(received: ReceivedRequest) -> None:
     """Responds as a cache that has every object."""
-    await received.answer(200, b"copy", X_Remark="mem")
+    await received.respond(200, b"copy", X_Remark="mem")
 
 
 def compare_commands(other: Path, folder: Path) -> list[str]:
@@ -228,7 +228,7 @@
 
     async def _count_check(self, received: ReceivedRequest) -> None:
         self.checks[received.server.uid] = self.checks.get(received.server.uid, 0) + 1
-        await received.answer(200, b"", X_Load="util=0.1")
+        await received.respond(200, b"", X_Load="util=0.1")
 
     async def check(self, round_number: int) -> None:
         """Checks members, purges, the handing on of a lease, control sockets and health checks."""
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -103,9 +103,9 @@
         self.seen[what] += self.is_counting
         if remark:
             body = b"copy" if status == 200 else b""
-            await heard.answer(status, body, X_Remark=remark, Fill_Wait="1.0")
+            await heard.respond(status, body, X_Remark=remark, Fill_Wait="1.0")
         else:
-            await heard.answer(status)
+            await heard.respond(status)
 
 
 async def send_load(
--- a/gladewalk/rehearsal/http2_fault_script.py
+++ b/gladewalk/rehearsal/http2_fault_script.py
@@ -68,14 +68,14 @@
 
     def _answer(self, request: Http2Request) -> None:
         if self._rng.random() < DELAYED_ANSWER_RATE:
-            request.answer(200, self._body)
+            request.respond(200, self._body)
             return
         request.connection.note_processing(request.stream_id)  # it may be processed, and a GOAWAY says so
         self._later(lambda: self._answer_if_open(request))
 
     def _answer_if_open(self, request: Http2Request) -> None:
         if not request.is_closed and not request.connection.is_closed:
-            request.answer(200, self._body)
+            request.respond(200, self._body)
 
     def _later(self, call: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(self._rng.random() * self._max_delay_s, call)
@@ -104,7 +104,7 @@
 
     def _shed(self, request: Http2Request) -> None:
         self.shed_tickets.append(request.ticket)
-        request.answer(503, may_process=False, x_shed="1")
+        request.respond(503, may_process=False, x_shed="1")
 
     def _go_away_unprocessed(self, request: Http2Request) -> None:
         """This stream and all above it were never looked at; those below go on."""
--- a/gladewalk/rehearsal/scripted_http2_server.py
+++ b/gladewalk/rehearsal/scripted_http2_server.py
@@ -60,7 +60,7 @@
             self.connection.server.processed.append(self)
         self.connection.note_processing(self.stream_id)
 
-    def answer(self, status: int = 200, body: bytes = b"", may_process: bool = True, **fields: str) -> None:
+    def respond(self, status: int = 200, body: bytes = b"", may_process: bool = True, **fields: str) -> None:
         """Sends a response; 200 and 304 process the request first if that has not been done."""
         if may_process and not self.is_processed and status in PROCESSED_STATUSES:
             self.process()
--- a/gladewalk/rehearsal/scripted_servers.py
+++ b/gladewalk/rehearsal/scripted_servers.py
@@ -74,7 +74,7 @@
     server: ScriptedServer
     writer: asyncio.StreamWriter
 
-    async def answer(self, status: int = 200, body: bytes = b"", **fields: str) -> None:
+    async def respond(self, status: int = 200, body: bytes = b"", **fields: str) -> None:
         """Sends a response; `fields` are further headers, as `X_Remark` for `X-Remark`."""
         headers = header_names(fields)
         if status != NOT_MODIFIED:
--- a/gladewalk/rehearsal/site_harness.py
+++ b/gladewalk/rehearsal/site_harness.py
@@ -34,7 +34,7 @@
 async def answer_with_name(request: ReceivedRequest) -> None:
     """Answers with the server's name and the request line, in the body and in `X-Server`."""
     body = f"{request.server.uid} {request.method} {request.path}".encode()
-    await request.answer(200, b"" if request.method == "HEAD" else body, X_Server=request.server.uid)
+    await request.respond(200, b"" if request.method == "HEAD" else body, X_Server=request.server.uid)
 
 
 @dataclass(slots=True)
--- a/gladewalk/rehearsal/virtual/servers.py
+++ b/gladewalk/rehearsal/virtual/servers.py
@@ -138,7 +138,7 @@
         request_id = request.headers.get("x-ticket", "")
         if request.path in PROBE_PATHS:
             if not self.silent_count:
-                await request.answer(200)
+                await request.respond(200)
             return
         if request_id != FILL_REQUEST_ID:
             source = request.headers.get("miss-to", "")
@@ -147,7 +147,7 @@
         if self.silent_count:
             return
         if self._busy_slots >= self._slots * (1.0 + QUEUE_FRACTION):
-            await request.answer(503, X_Shed="1")
+            await request.respond(503, X_Shed="1")
             return
         self._busy_slots += 1
         try:
@@ -174,7 +174,7 @@
             try:
                 response = await self._send(source, "PUT", request.path, request.body, X_For=request_id)
             except FILL_ERRORS:
-                await request.answer(500)
+                await request.respond(500)
                 return
             body = response.body
         await self._respond(request, ObjectCopy(body, self._clock()), "origin")
@@ -197,13 +197,13 @@
         is_parent = self.stand_in.model == PARENT_MODEL
         source = STORE_NAME if is_parent else request.headers.get("miss-to", "")
         if not source or "have-only" in request.headers.get("handling", "").split("+"):
-            await request.answer(404, X_Remark="absent")
+            await request.respond(404, X_Remark="absent")
             return
         try:
             copy = await asyncio.shield(self._fill(key, request.path, source, max_age_ms))
         except FILL_ERRORS as error:
             remark = str(error) if isinstance(error, FillError) else "unreached"
-            await request.answer(404, X_Remark=remark)
+            await request.respond(404, X_Remark=remark)
             return
         if is_parent or request.headers.get("store-as", "0") != "0":
             self._store(key, copy)
@@ -276,7 +276,7 @@
             await self._break_off(request, copy.body)
             return
         made_at = f"{copy.made_ms:.3f}"
-        await request.answer(200, copy.body, X_Remark=remark, Made_At=made_at, Tag=f"{copy.made_ms:.0f}")
+        await request.respond(200, copy.body, X_Remark=remark, Made_At=made_at, Tag=f"{copy.made_ms:.0f}")
 
     async def _break_off(self, request: ReceivedRequest, body: bytes) -> None:
         """Resets the connection in the middle of the body."""
--- a/gladewalk/rehearsal/write_soak.py
+++ b/gladewalk/rehearsal/write_soak.py
@@ -73,11 +73,11 @@
         if self._random.random() < self._fault_fraction:
             fault = self._random.choice(HTTP1_FAULTS)
         if fault is Http1Fault.REJECT_UNEXECUTED:
-            return await heard.answer(503, X_Shed="1")
+            return await heard.respond(503, X_Shed="1")
         if fault is not Http1Fault.DROP_BEFORE_EXECUTION:
             self.executed[heard.headers["x-ticket"]] += 1
         if fault is Http1Fault.NONE:
-            return await heard.answer(200, self._body)
+            return await heard.respond(200, self._body)
         if fault is Http1Fault.DROP_WITHIN_RESPONSE:
             heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + self._body)
         heard.writer.transport.abort()
--- a/tests/http2_rehearsal.py
+++ b/tests/http2_rehearsal.py
@@ -68,12 +68,12 @@
 
 def serve(request: Http2Request) -> None:
     """Responds to a request to a stand-in server over HTTP/2."""
-    request.answer(200, BYTES)
+    request.respond(200, BYTES)
 
 
 async def serve_http1(http1_request: ReceivedRequest) -> None:
     """Responds to a request to a stand-in server over HTTP/1.1."""
-    await http1_request.answer(200, BYTES, X_Remark="mem")
+    await http1_request.respond(200, BYTES, X_Remark="mem")
 
 
 async def write(
--- a/tests/server_scripts.py
+++ b/tests/server_scripts.py
@@ -16,14 +16,14 @@
 
 async def hit(request: ReceivedRequest) -> None:
     fields = {"X_Remark": "mem", "Tag": "4be0", "Made_At": "1764576000123", "X_Meter": "util:0.2;x0:0.7"}
-    await request.answer(200, BYTES, **fields)
+    await request.respond(200, BYTES, **fields)
 
 
 async def miss_then_fill(request: ReceivedRequest) -> None:
     if "miss-to" in request.headers:
-        await request.answer(200, BYTES, X_Remark="parent", Fill_Wait="3.5")
+        await request.respond(200, BYTES, X_Remark="parent", Fill_Wait="3.5")
     else:
-        await request.answer(404)
+        await request.respond(404)
 
 
 async def never_respond(request: ReceivedRequest) -> None:
--- a/tests/store/test_persistence.py
+++ b/tests/store/test_persistence.py
@@ -35,7 +35,7 @@
 
 
 async def answer_hit(heard: ReceivedRequest) -> None:
-    await heard.answer(200, b"copy", X_Remark="mem")
+    await heard.respond(200, b"copy", X_Remark="mem")
 
 
 def options_with(folder: Path, **tables: dict[str, Any]) -> Options:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,7 +30,7 @@
 
 
 async def report_load(request: ReceivedRequest) -> None:
-    await request.answer(200, X_Meter="util:0.1")
+    await request.respond(200, X_Meter="util:0.1")
 
 
 class ControlSocket(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -145,7 +145,7 @@
 
     async def test_a_slowly_read_response_is_sent_completely(self) -> None:
         async def large(request: ReceivedRequest) -> None:
-            await request.answer(200, LARGE)
+            await request.respond(200, LARGE)
 
         async with running(ScriptedServer(large)) as (_, director):
             front, client = director.front, socket.socket()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -233,15 +233,15 @@
 
 
 async def respond_200(request: ReceivedRequest) -> None:
-    await request.answer(200, b"done", X_Remark="origin")
+    await request.respond(200, b"done", X_Remark="origin")
 
 
 async def respond_500(request: ReceivedRequest) -> None:
-    await request.answer(500)
+    await request.respond(500)
 
 
 async def respond_overloaded(request: ReceivedRequest) -> None:
-    await request.answer(503, X_Shed="1")
+    await request.respond(503, X_Shed="1")
 
 
 def build_servers(script: Any) -> list[Any]:
@@ -289,7 +289,7 @@
     async def test_fill_whose_response_has_begun_is_not_cancelled_for_its_age(self) -> None:
         async def slow(request: ReceivedRequest) -> None:
             if "miss-to" not in request.headers:
-                return await request.answer(404)
+                return await request.respond(404)
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
             await request.writer.drain()
             await asyncio.sleep(1.2)  # longer than its limit of 0.5 s
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -33,7 +33,7 @@
 
 
 async def serve_hit(heard: ReceivedRequest) -> None:
-    await heard.answer(200, b"x", X_Remark="mem")
+    await heard.respond(200, b"x", X_Remark="mem")
 
 
 def dns_config(**more: Any) -> DnsConfig:
--- a/tests/test_duties_directors.py
+++ b/tests/test_duties_directors.py
@@ -99,7 +99,7 @@
 
     async def answer(self, request: ReceivedRequest) -> None:
         self.checks[f"{request.server.uid}{request.path}"] += 1
-        await request.answer(200, X_Meter="util:0.25;x0:0.5")
+        await request.respond(200, X_Meter="util:0.25;x0:0.5")
 
     async def start_director(self, name: str, folder: Path) -> None:
         seeds = [f"127.0.0.1:{runner_of(latest).peers.core.local.port}" for latest in self.directors[-1:]]
--- a/tests/test_endless.py
+++ b/tests/test_endless.py
@@ -23,7 +23,7 @@
 
 
 async def large(request: ReceivedRequest) -> None:
-    await request.answer(200, LARGE)
+    await request.respond(200, LARGE)
 
 
 def encode_pipelined(number: int, wait_ms: float) -> bytes:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -136,7 +136,7 @@
 
         async def answer(request: ReceivedRequest) -> None:
             checked_ms.setdefault(request.server.uid, []).append(time.monotonic() * 1000.0)
-            await request.answer(200, b"", X_Load="util=0.1")
+            await request.respond(200, b"", X_Load="util=0.1")
 
         caches = tuple([await ScriptedServer(answer, uid=f"c{number}").start() for number in range(8)])
         try:
--- a/tests/test_golden_exchange.py
+++ b/tests/test_golden_exchange.py
@@ -197,15 +197,15 @@
 
 
 async def small(request: ReceivedRequest) -> None:
-    await request.answer(200, b"abc", Tag="4be0")
+    await request.respond(200, b"abc", Tag="4be0")
 
 
 async def without_tag(request: ReceivedRequest) -> None:
-    await request.answer(200, b"abc")
+    await request.respond(200, b"abc")
 
 
 async def unchanged(request: ReceivedRequest) -> None:
-    await request.answer(304, Tag="4be0")
+    await request.respond(304, Tag="4be0")
 
 
 EXCHANGES: dict[str, tuple[Any, dict[str, Any], list[bytes]]] = {
--- a/tests/test_golden_nginx.py
+++ b/tests/test_golden_nginx.py
@@ -142,19 +142,19 @@
     elif path.startswith("/204"):
         writer.write(b"HTTP/1.1 204 No Content\r\nX-Empty: 1\r\n\r\n")
     elif path.startswith("/404"):
-        await received.answer(404, b"none", Server="x")
+        await received.respond(404, b"none", Server="x")
     elif path.endswith("/503"):
-        await received.answer(503, b"busy", Retry_After="9")
+        await received.respond(503, b"busy", Retry_After="9")
     elif path.endswith("/redirect"):
-        await received.answer(302, b"", Location="http://a/s/there")
+        await received.respond(302, b"", Location="http://a/s/there")
     elif "range" in received.headers:
-        await received.answer(206, b"part", Content_Range="bytes 0-3/9", Connection="X-Hop", X_Hop="1")
+        await received.respond(206, b"part", Content_Range="bytes 0-3/9", Connection="X-Hop", X_Hop="1")
     elif "if-none-match" in received.headers:
         writer.write(b'HTTP/1.1 304 Not Modified\r\nETag: "e"\r\n\r\n')
     elif received.method == "HEAD":
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")
     else:
-        await received.answer(200, b"<" + received.body + b">", Set_Cookie="a=1", Server="x", X_Hidden="1")
+        await received.respond(200, b"<" + received.body + b">", Set_Cookie="a=1", Server="x", X_Hidden="1")
 
 
 async def abort(received: ReceivedRequest) -> None:
--- a/tests/test_golden_rehearsal.py
+++ b/tests/test_golden_rehearsal.py
@@ -234,15 +234,15 @@
 async def answer_by_path(heard: ReceivedRequest) -> None:
     match heard.path:
         case "/hit":
-            await heard.answer(200, b"fish" * 20, X_Remark="mem", Made_At="1764576000123")
+            await heard.respond(200, b"fish" * 20, X_Remark="mem", Made_At="1764576000123")
         case "/same":
-            await heard.answer(304, Tag="4be0")
+            await heard.respond(304, Tag="4be0")
         case "/crowded":
-            await heard.answer(503, X_Shed="1")
+            await heard.respond(503, X_Shed="1")
         case "/gone":
             heard.writer.transport.abort()
         case _:
-            await heard.answer(404, f"{heard.method} {sorted(heard.headers.items())} {heard.body!r}".encode())
+            await heard.respond(404, f"{heard.method} {sorted(heard.headers.items())} {heard.body!r}".encode())
 
 
 async def send_and_read(address: str, data: bytes) -> bytes:
@@ -289,17 +289,17 @@
 def answer_http2(asked: Http2Request) -> None:
     match asked.path:
         case "/hit":
-            asked.answer(200, b"fish" * 9_000, tag="77")
+            asked.respond(200, b"fish" * 9_000, tag="77")
         case "/same":
-            asked.answer(304)
+            asked.respond(304)
         case "/reset":
             asked.reset(8)
         case "/go":
             asked.connection.send_goaway(asked.connection.last_processed_id)
-            asked.answer(503, may_process=False, x_shed="1")
+            asked.respond(503, may_process=False, x_shed="1")
         case "/settings":
             asked.connection.update_settings(max_concurrent_streams=7)
-            asked.answer(200, asked.body)
+            asked.respond(200, asked.body)
         case _:
             asked.send_headers(404, 2)
             asked.connection.send_body(asked, b"no", True)
--- a/tests/test_http2_allocation.py
+++ b/tests/test_http2_allocation.py
@@ -37,7 +37,7 @@
         assert (server.connections, server.streams_over_limit) == (2, 0)
         assert server.max_streams <= 64
         for request in received:
-            request.answer(200, BYTES)
+            request.respond(200, BYTES)
         answers = await asyncio.gather(*requests)
     assert {(status, body) for status, _, body in answers} == {(200, BYTES)}
     assert {request.path.rsplit("/", 1)[1] for request in received} == {"2"}
@@ -58,13 +58,13 @@
         await wait_until(lambda: any(s.max_streams == 0 for s in group.allocator.connections.values()))
         further_requests = [asyncio.create_task(read(rehearsal, n)) for n in range(4, 8)]
         for request in received[:4]:
-            request.answer(200, BYTES)
+            request.respond(200, BYTES)
         await asyncio.gather(*first_requests)
         assert len(received) == 4  # no new request under a limit of 0
         connection.update_settings(max_concurrent_streams=1)
         for n in range(4, 8):
             await wait_until(lambda n=n: len(received) == n + 1)  # type: ignore[misc]
-            received[n].answer(200, BYTES)
+            received[n].respond(200, BYTES)
         assert [status for status, _, _ in await asyncio.gather(*further_requests)] == [200] * 4
     assert (server.connections, server.streams_over_limit) == (1, 0)
 
@@ -108,7 +108,7 @@
         await wait_until(lambda: server.resets_received == 3)
         assert counters_of(rehearsal)["h2.cancels_held_back"] == 5
         for request in received:
-            request.answer(200, BYTES)
+            request.respond(200, BYTES)
         server.script = serve
         assert (await rehearsal.fetch("/invoke/lot-page/ff"))[0] == 200  # on the same connection
     assert (server.connections, server.resets_received) == (1, 3)
@@ -126,7 +126,7 @@
         server.state = "DRAINING"
         rehearsal.coordinator.publish_endpoints(server)
         await wait_until(lambda: director_of(rehearsal).endpoint_feed.last_index == 2)
-        received[0].answer(200, BYTES)
+        received[0].respond(200, BYTES)
         assert (await first_request)[0] == 200
         assert (await second_request)[0] == 503
         assert counters_of(rehearsal)["attempts.held_back"] == 1
@@ -175,6 +175,6 @@
         await wait_until(lambda: len(received) == 2)
         assert received[0].connection is not received[1].connection
         for request in received:
-            request.answer(200, BYTES)
+            request.respond(200, BYTES)
         assert [(await earlier)[0], (await later)[0]] == [200, 200]
         await wait_until(lambda: len(server.open_connections) == 1)
--- a/tests/test_http2_flow_control.py
+++ b/tests/test_http2_flow_control.py
@@ -18,7 +18,7 @@
 @async_test
 async def test_a_slow_client_delays_only_its_own_stream() -> None:
     large_body = bytes(240_000)
-    server = ScriptedHttp2Server(lambda request: request.answer(200, large_body))
+    server = ScriptedHttp2Server(lambda request: request.respond(200, large_body))
     async with rehearse(server, connections_most=1, stream_window=16_384) as rehearsal:
         slow_clients = []
         for n in range(6):
@@ -38,7 +38,7 @@
 
 @async_test
 async def test_a_paused_stream_receives_no_more_than_its_window() -> None:
-    server = ScriptedHttp2Server(lambda request: request.answer(200, bytes(240_000)))
+    server = ScriptedHttp2Server(lambda request: request.respond(200, bytes(240_000)))
     async with rehearse(server, stream_window=8_192) as rehearsal:
         reader, writer = await rehearsal.connect()
         exchange = director_of(rehearsal).exchange
@@ -64,7 +64,7 @@
 async def test_a_large_write_is_sent_through_small_changing_and_negative_windows() -> None:
     body = random.Random(3).randbytes(48_000)
     server = ScriptedHttp2Server(
-        lambda request: request.answer(200, b"taken"), settings={SettingCodes.INITIAL_WINDOW_SIZE: 1_000}
+        lambda request: request.respond(200, b"taken"), settings={SettingCodes.INITIAL_WINDOW_SIZE: 1_000}
     )
     server.withholds_window = True
     async with rehearse(server, ScriptedHttp2Server(serve, "o", "origin", "north")) as rehearsal:
--- a/tests/test_http2_retries.py
+++ b/tests/test_http2_retries.py
@@ -38,7 +38,7 @@
 ) -> tuple[int, ScriptedHttp2Server, ScriptedHttp2Server, dict[str, int]]:
     """Sends one write; its first attempts go to a cache with this script, later ones to the origin."""
     server = ScriptedHttp2Server(script, "c1")
-    origin = ScriptedHttp2Server(lambda request: request.answer(200, b"taken"), "o", "origin", "north")
+    origin = ScriptedHttp2Server(lambda request: request.respond(200, b"taken"), "o", "origin", "north")
     async with rehearse(server, origin) as rehearsal:
         status = await write(rehearsal, 1)
         return status, server, origin, counters_of(rehearsal)
@@ -133,7 +133,7 @@
         connection.send_goaway(connection.last_processed_id)  # the fifth and the sixth were not processed
         await wait_until(lambda: len(received) == 9)  # both were retried on the new connection
         for request in (*received[:4], *received[6:]):
-            request.answer(200, b"taken")
+            request.respond(200, b"taken")
         assert await asyncio.gather(*requests, later_request) == [200] * 7
         # The first connection is closed when its last stream has ended.
         await wait_until(lambda: len(server.open_connections) == 1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -95,7 +95,7 @@
 
     async def test_a_copy_in_the_clients_cache_is_confirmed_without_a_body(self) -> None:
         async def script(request: ReceivedRequest) -> None:
-            await request.answer(304 if request.headers.get("have") == "4be0" else 500, Tag="4be0")
+            await request.respond(304 if request.headers.get("have") == "4be0" else 500, Tag="4be0")
 
         async with running(ScriptedServer(script)) as (harness, _):
             status, fields, body = await harness.fetch(If_None_Match='"4be0"')
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -29,7 +29,7 @@
 
 
 async def hit(request: ReceivedRequest) -> None:
-    await request.answer(200, BODY, X_Remark="mem")
+    await request.respond(200, BODY, X_Remark="mem")
 
 
 def parse_metrics(text: bytes) -> dict[str, str]:
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -56,7 +56,7 @@
 
 async def hit_and_close(request: ReceivedRequest) -> None:
     """Answers, and has the director open a new connection for the next request."""
-    await request.answer(200, BYTES, X_Remark="mem", Connection="close")
+    await request.respond(200, BYTES, X_Remark="mem", Connection="close")
 
 
 async def start_before_faults(
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -165,7 +165,7 @@
     async def answer(request: ReceivedRequest) -> None:
         served[request.server.uid] += 1
         await asyncio.sleep(loop.random.uniform(0.005, 0.05))
-        await request.answer(200, BODY, X_Remark="mem")
+        await request.respond(200, BODY, X_Remark="mem")
 
     coordinator = Coordinator()
     await loop.run_as("coordinator", coordinator.start())
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -74,7 +74,7 @@
 
         async def slow(received: ReceivedRequest) -> None:
             await asyncio.sleep(0.02)
-            await received.answer(200, b"", X_Server=received.server.uid)
+            await received.respond(200, b"", X_Server=received.server.uid)
 
         directives = "proxy_cache_lock on; proxy_cache_valid 200 1m; proxy_cache_use_stale error;"
         async with SiteHarness(site_of(TWO_SERVERS % directives), {"a/0": slow}) as world:
@@ -111,7 +111,7 @@
                 await received.writer.drain()
                 received.writer.close()
             elif "range" in received.headers:
-                await received.answer(
+                await received.respond(
                     206, b"part", Content_Range="bytes 0-3/9", Connection="X-Hop", X_Hop="1"
                 )
             elif "if-none-match" in received.headers:
@@ -119,7 +119,7 @@
             elif received.method == "HEAD":
                 received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")
             else:
-                await received.answer(
+                await received.respond(
                     201, received.body, Set_Cookie="a=1", Server="x", Location="http://a/s/there"
                 )
 
@@ -283,7 +283,7 @@
 
         async def answer_at_gate(received: ReceivedRequest) -> None:
             await gate.wait()
-            await received.answer(200, b"old", X_Server=received.server.uid)
+            await received.respond(200, b"old", X_Server=received.server.uid)
 
         async with SiteHarness(site, {"b/0": answer_at_gate}) as world:
             director = world.director
--- a/tests/test_web_failures.py
+++ b/tests/test_web_failures.py
@@ -13,7 +13,7 @@
 class Failures(unittest.IsolatedAsyncioTestCase):
     def answer_with(self, status: int, body: bytes = b"", **fields: str):  # type: ignore[no-untyped-def]
         async def script(received: ReceivedRequest) -> None:
-            await received.answer(status, body, X_Server=received.server.uid, **fields)
+            await received.respond(status, body, X_Server=received.server.uid, **fields)
 
         return script
 
@@ -133,7 +133,7 @@
 
         async def answer_at_gate(received: ReceivedRequest) -> None:
             await gate.wait()
-            await received.answer(200, b"", X_Server=received.server.uid)
+            await received.respond(200, b"", X_Server=received.server.uid)
 
         site = site_of("upstream a { server 127.0.0.1:1 max_conns=2; server 127.0.0.1:2; }\n"
                        "server { location / { proxy_pass http://a; } }")  # fmt: skip
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -193,7 +193,7 @@
 
 def test_a_slow_reader_gets_a_complete_response_and_delays_no_other_client() -> None:
     async def large(request: ReceivedRequest) -> None:
-        await request.answer(200, bytes(240_000))
+        await request.respond(200, bytes(240_000))
 
     async def scenario() -> tuple[ClientResponse, ClientResponse]:
         async with DirectorHarness([ScriptedServer(large)]) as harness:
