--- a/benchmarks/bids.py
+++ b/benchmarks/bids.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from gladewalk.config.options import Options, build_options, read_option_tables
-from gladewalk.rehearsal.write_soak import SoakReport, play_h2, play_http1
+from gladewalk.rehearsal.write_soak import SoakReport, run_http1_soak, run_http2_soak
 from gladewalk.streams.stream_tracker import UNPROCESSED_REASONS
 
 
@@ -83,8 +83,8 @@
     arguments = parser.parse_args()
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     seeds, count, part = range(1, arguments.seeds + 1), arguments.count, arguments.part
-    h2_reports = [run_soak(play_h2(seed, count, part, h2c_options())) for seed in seeds]
-    http1_reports = [run_soak(play_http1(seed, count, part)) for seed in seeds]
+    h2_reports = [run_soak(run_http2_soak(seed, count, part, h2c_options())) for seed in seeds]
+    http1_reports = [run_soak(run_http1_soak(seed, count, part)) for seed in seeds]
     are_kept = [print_summary("HTTP/2", h2_reports), print_summary("HTTP/1.1", http1_reports)]
     return 0 if all(are_kept) else 1
 
--- a/benchmarks/duties_at_size.py
+++ b/benchmarks/duties_at_size.py
@@ -65,7 +65,7 @@
     """Plays one size: a quiet time, then kills of members that are drawn."""
     began, draw = time.monotonic(), random.Random(size)
     network = build_task_network(
-        size, size, servers=SERVERS_PER_MEMBER * size, settle_ms=settle_ms, have_met=have_met
+        size, size, servers=SERVERS_PER_MEMBER * size, settle_ms=settle_ms, starts_introduced=have_met
     )
     started_ms = network.now_ms
     messages_before, bytes_before = sum(network.sent_datagrams.values()), sum(network.sent_bytes.values())
--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -38,7 +38,7 @@
 )
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
-from gladewalk.rehearsal.member_faults import play as play_simulated
+from gladewalk.rehearsal.member_faults import run_schedule as play_simulated
 from gladewalk.rehearsal.member_network import cluster
 
 MAX_STALL_MS = MembershipConfig().max_stall_ms
--- a/benchmarks/rehearsal_speed.py
+++ b/benchmarks/rehearsal_speed.py
@@ -15,8 +15,8 @@
 from multiprocessing import get_context
 from typing import NamedTuple
 
-from gladewalk.rehearsal.virtual.play import play, silence_logs
 from gladewalk.rehearsal.virtual.scenario import FleetTable, Scenario, TrafficTable
+from gladewalk.rehearsal.virtual.scenario_run import run_scenario, silence_logs
 
 CACHES_PER_PARENT = 4
 OBJECTS_PER_CACHE = 50
@@ -37,7 +37,7 @@
     fleet = FleetTable(directors=directors, caches=caches, parents=max(1, caches // CACHES_PER_PARENT))
     requests_per_s = requests_per_director_s * directors
     traffic = TrafficTable(requests_per_s=requests_per_s, objects=OBJECTS_PER_CACHE * caches)
-    verdict = play(Scenario(duration_s=duration_s, fleet=fleet, traffic=traffic), 1)
+    verdict = run_scenario(Scenario(duration_s=duration_s, fleet=fleet, traffic=traffic), 1)
     return Measurement(
         speed=verdict.virtual_s / verdict.wall_s,
         request_count=len(verdict.history.requests),
--- a/gladewalk/cli/rehearsal_commands.py
+++ b/gladewalk/cli/rehearsal_commands.py
@@ -22,16 +22,16 @@
 def play_command(file: str, seed: int, explain: str, as_json: bool) -> None:
     """Run a scenario against the real director in virtual time. Exit code 1: a rule was violated."""
     from ..rehearsal.virtual.clients import REQUEST_CLASSES
-    from ..rehearsal.virtual.play import play, silence_logs
     from ..rehearsal.virtual.rules import describe_request
     from ..rehearsal.virtual.scenario import load_scenario
+    from ..rehearsal.virtual.scenario_run import run_scenario, silence_logs
 
     silence_logs()
     try:
         scenario = load_scenario(Path(file), tuple(REQUEST_CLASSES))
     except ConfigError as error:
         fail(error)
-    verdict = play(scenario, seed)
+    verdict = run_scenario(scenario, seed)
     if explain:
         click.echo("\n".join(describe_request(verdict.history, explain)) or f"no request {explain}")
     elif as_json:
@@ -56,12 +56,12 @@
 @examples("gladewalk hunt --first 1000 --count 200 --folder scenarios")
 def hunt_command(first: int, count: int, folder: str) -> None:
     """Generate scenarios and write those that violate a rule, minimized. Exit code 1: some do."""
-    from ..rehearsal.virtual.hunt import hunt
-    from ..rehearsal.virtual.play import silence_logs
     from ..rehearsal.virtual.scenario import encode_scenario
+    from ..rehearsal.virtual.scenario_run import silence_logs
+    from ..rehearsal.virtual.scenario_search import find_failing_scenarios
 
     silence_logs()
-    findings = hunt(range(first, first + count))
+    findings = find_failing_scenarios(range(first, first + count))
     for finding in findings:
         path = Path(folder) / f"hunt-{finding.seed}.toml"
         path.write_text(encode_scenario(finding.minimized), encoding="utf-8")
--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -119,7 +119,7 @@
     # Back, it grants nothing for as long as it may have promised to.
     simulation.kill(simulation.names[-1], FIRST_DOWN_MS)
     simulation.run_until(HAND_ON_MS)
-    simulation.hand_on()
+    simulation.release_all_leases()
     simulation.run_until(END_MS - QUIET_MS)
     injector.is_counting = False
     simulation.run_until(END_MS)
--- a/gladewalk/rehearsal/coordinator.py
+++ b/gladewalk/rehearsal/coordinator.py
@@ -19,7 +19,7 @@
     address: str = ""
     _writers: list[asyncio.StreamWriter] = field(default_factory=list)
     _server: asyncio.Server | None = None
-    may_answer: asyncio.Event | None = None  # where given, followers are answered once it is set
+    responses_allowed: asyncio.Event | None = None  # where given, followers are answered once it is set
 
     async def start(self) -> Coordinator:
         """Listens on a port of the system's choice; `address` then has it."""
@@ -57,8 +57,8 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         last_index = int((await reader.readline()).split()[1])
         self.followed_from.append(last_index)
-        if self.may_answer is not None:
-            await self.may_answer.wait()
+        if self.responses_allowed is not None:
+            await self.responses_allowed.wait()
         for event in self.events[last_index:]:
             writer.write(json.dumps(event).encode() + b"\n")
         writer.write(b"%d\n" % len(self.events))  # the last index, which the platform also sends each second
--- a/gladewalk/rehearsal/lease_simulation.py
+++ b/gladewalk/rehearsal/lease_simulation.py
@@ -240,7 +240,7 @@
             self._step_down(director)
             self.kill(name, duration_ms)
 
-    def hand_on(self) -> None:
+    def release_all_leases(self) -> None:
         """Lets whoever holds a lease give it up to anybody."""
         for director in self.directors.values():
             if director.is_up and self.now_ms >= director.paused_until_ms:
@@ -253,7 +253,7 @@
 
     def _tear_grant(self, name: str, duration_ms: float) -> None:
         self.directors[name].torn_grant_ms = duration_ms
-        self.hand_on()  # only a new term is saved
+        self.release_all_leases()  # only a new term is saved
 
     def _set_clock_rate(self, fault: Fault) -> None:
         director = self.directors[fault.directors[0]]
@@ -316,7 +316,7 @@
         return fault.kind is FaultKind.PARTITION and max(hit, total - hit) < majority(total)
 
 
-def play(
+def run_schedule(
     seed: int,
     director_count: int,
     length_ms: float = 8_000.0,
@@ -334,7 +334,7 @@
     return simulation.verdict()
 
 
-def play_skewed(
+def run_with_skewed_clocks(
     seed: int, director_count: int = 3, config: LeaseConfig | None = None, clock_drift: float = 0.02
 ) -> Verdict:
     """Plays the case that the margins are for.
--- a/gladewalk/rehearsal/member_faults.py
+++ b/gladewalk/rehearsal/member_faults.py
@@ -76,7 +76,7 @@
         self._network.schedule(fault.amount, lambda: self._flap(fault, end_ms, -by))
 
 
-def play(network: MemberNetwork, faults: list[Fault]) -> None:
+def run_schedule(network: MemberNetwork, faults: list[Fault]) -> None:
     """Plays a schedule from now, until its last fault is over."""
     player = FaultPlayer(network)
 
--- a/gladewalk/rehearsal/scripted_http2_server.py
+++ b/gladewalk/rehearsal/scripted_http2_server.py
@@ -106,7 +106,7 @@
         )
         self.engine.local_settings.acknowledge()
         self.last_processed_id = 0  # the highest stream that was processed or may yet be
-        self.is_silent = self.is_going_away = False
+        self.is_unresponsive = self.is_going_away = False
         self.bytes_until_abort: int | None = None  # that are still read before the connection breaks
         self.transport: asyncio.Transport | None = None
         self._requests: dict[int, Http2Request] = {}
@@ -138,7 +138,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Reads frames, runs the script for complete requests and sends what the windows allow."""
-        if self.is_silent or not self.server.sends_preface:
+        if self.is_unresponsive or not self.server.sends_preface:
             return
         if self.bytes_until_abort is not None:
             data, self.bytes_until_abort = data[: self.bytes_until_abort], self.bytes_until_abort - len(data)
@@ -222,7 +222,7 @@
     def flush(self) -> None:
         """Writes what the engine has to send, unless the connection is silent."""
         data = self.engine.data_to_send()
-        if data and self.transport is not None and not self.is_silent:
+        if data and self.transport is not None and not self.is_unresponsive:
             self.transport.write(data)
 
     def send_goaway(self, last_stream_id: int, code: int = ErrorCodes.NO_ERROR) -> None:
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -178,7 +178,7 @@
             if self.nodes[name].is_up and server in runner.task_types[CHECK_KIND].ownership.owned
         ]
 
-    def is_divided(self) -> bool:
+    def has_one_owner_each(self) -> bool:
         """Whether each health check has exactly one owner among the running nodes."""
         return all(len(self.owners(server)) == 1 for server in self.servers)
 
@@ -210,21 +210,21 @@
     settle_ms: float = 6_000.0,
     checks_per_second: float = 0.0,
     terms: MembershipConfig | None = None,
-    have_met: bool = False,
+    starts_introduced: bool = False,
 ) -> TaskNetwork:
     """Builds members m0 to m(count-1), with the first two as seeds, that have divided their servers.
 
-    `have_met`: they know one another from the start, as if a full exchange lay long behind them, and begin
-    with dividing the servers.
+    With `starts_introduced` the members know one another from the start, as after a full exchange of state,
+    and begin by dividing the servers among themselves.
     """
     names = (f"b{number}" for number in range(servers))
     network = TaskNetwork(seed, names, interval_ms, terms, checks_per_second)
-    if have_met:
+    if starts_introduced:
         network.ranks = SharedRanks(f"m{number}" for number in range(count))
     for number in range(count):
         seeds = tuple(f"m{earlier}" for earlier in range(min(number, SEED_COUNT)))
         network.join(f"m{number}", seeds)
-    if have_met:
+    if starts_introduced:
         _introduce(network)
     network.run(settle_ms)
     return network
--- a/gladewalk/rehearsal/virtual/play.py
+++ b/gladewalk/rehearsal/virtual/scenario_run.py
@@ -199,7 +199,7 @@
         return outcomes
 
 
-def play(
+def run_scenario(
     scenario: Scenario,
     seed: int,
     change: DirectorChange | None = None,
--- a/gladewalk/rehearsal/virtual/hunt.py
+++ b/gladewalk/rehearsal/virtual/scenario_search.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from .play import DirectorChange, play
 from .scenario import Scenario, generate_scenario
+from .scenario_run import DirectorChange, run_scenario
 
 MIN_FAULT_S = 0.25
 
@@ -25,7 +25,7 @@
 
 def breaks_rule(scenario: Scenario, seed: int, rule: str, change: DirectorChange | None) -> bool:
     """Whether a run of the scenario violates the rule."""
-    return any(violation.rule == rule for violation in play(scenario, seed, change).violations)
+    return any(violation.rule == rule for violation in run_scenario(scenario, seed, change).violations)
 
 
 def minimize(scenario: Scenario, seed: int, rule: str, change: DirectorChange | None = None) -> Scenario:
@@ -57,7 +57,7 @@
     return scenario
 
 
-def hunt(seeds: Iterable[int], change: DirectorChange | None = None) -> list[Finding]:
+def find_failing_scenarios(seeds: Iterable[int], change: DirectorChange | None = None) -> list[Finding]:
     """Generates and runs a scenario for each seed; returns a finding for each that breaks a rule.
 
     A finding is about the first violation of its run.
@@ -65,7 +65,7 @@
     findings = []
     for seed in seeds:
         scenario = generate_scenario(seed)
-        verdict = play(scenario, seed, change)
+        verdict = run_scenario(scenario, seed, change)
         if not verdict.passed:
             rule = verdict.violations[0].rule
             findings.append(Finding(seed, rule, scenario, minimize(scenario, seed, rule, change)))
--- a/gladewalk/rehearsal/write_soak.py
+++ b/gladewalk/rehearsal/write_soak.py
@@ -160,7 +160,7 @@
     return statuses
 
 
-async def play_h2(
+async def run_http2_soak(
     seed: int, count: int, fault_fraction: float, options: Options, cache_count: int = SERVER_COUNT
 ) -> SoakReport:
     """Plays `count` writes over HTTP/2, `fault_fraction` of which meet a fault at each server."""
@@ -202,7 +202,7 @@
     return report
 
 
-async def play_http1(
+async def run_http1_soak(
     seed: int, count: int, fault_fraction: float, cache_count: int = SERVER_COUNT
 ) -> SoakReport:
     """Plays the same over HTTP/1.1, where nothing proves that a write was never executed."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -14,7 +14,6 @@
 from gladewalk.director import Director
 from gladewalk.net.connection import ClientConnection
 from gladewalk.rehearsal.director_harness import SETTINGS
-from gladewalk.rehearsal.virtual.play import DirectorChange
 from gladewalk.rehearsal.virtual.scenario import (
     FleetTable,
     Scenario,
@@ -22,6 +21,7 @@
     ScenarioFaultKind,
     TrafficTable,
 )
+from gladewalk.rehearsal.virtual.scenario_run import DirectorChange
 
 TRAFFIC = TrafficTable(requests_per_s=30.0, objects=60)
 DRAIN = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -220,14 +220,17 @@
 
     async def test_a_buffered_request_of_a_disconnected_client_is_not_forwarded(self) -> None:
         cache = ScriptedServer(hit)
-        async with running(cache, coordinator=Coordinator(may_answer=asyncio.Event())) as (harness, director):
+        async with running(cache, coordinator=Coordinator(responses_allowed=asyncio.Event())) as (
+            harness,
+            director,
+        ):
             _, writer = await harness.connect()
             writer.write(encode_request("/invoke/lot-page/a1"))
             await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 1)
             writer.close()
             await wait_until(lambda: not director.front.connections)
-            assert harness.coordinator.may_answer is not None
-            harness.coordinator.may_answer.set()
+            assert harness.coordinator.responses_allowed is not None
+            harness.coordinator.responses_allowed.set()
             await wait_until(lambda: director.exchange.buffered_requests is None)
             await wait_until(lambda: not director.exchange.open_requests)
             assert (len(cache.received), director.counters["attempts.written"]) == (0, 0)
--- a/tests/test_duties_simulated.py
+++ b/tests/test_duties_simulated.py
@@ -119,7 +119,7 @@
     net.nodes["m2"], net.nodes["duplicate"] = first, duplicate
     net.run(10_000.0)
     assert (first.core.is_active, duplicate.core.is_active) == (True, False)
-    assert net.is_divided()
+    assert net.has_one_owner_each()
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -196,7 +196,7 @@
         start = net.now_ms
         net.run(5_000.0)
         assert net.has_converged(), {name: net.live_as_seen_by(name) for name in net.nodes}
-        assert net.is_divided(), [(server, net.owners(server)) for server in net.servers]
+        assert net.has_one_owner_each(), [(server, net.owners(server)) for server in net.servers]
         assert net.check_rates(start)[0] >= 0.8 and net.check_rates(start)[-1] <= 1.2, net.check_rates(start)
 
 
--- a/tests/test_golden_exchange.py
+++ b/tests/test_golden_exchange.py
@@ -279,7 +279,7 @@
 async def health_before_the_feed() -> str:
     """Returns a health check's response before the coordinator has sent anything."""
     may_respond = asyncio.Event()
-    async with DirectorHarness([], coordinator=Coordinator(may_answer=may_respond)) as harness:
+    async with DirectorHarness([], coordinator=Coordinator(responses_allowed=may_respond)) as harness:
         response = await exchange_bytes(harness, [encode_request("/_health")])
         may_respond.set()
         await wait_until(lambda: harness.director is not None and harness.director.readiness.is_synced)
--- a/tests/test_golden_members.py
+++ b/tests/test_golden_members.py
@@ -46,7 +46,7 @@
 from gladewalk.members.stream import LENGTH_PREFIX
 from gladewalk.members.swim import Membership
 from gladewalk.members.transport import MembershipTransport
-from gladewalk.rehearsal.member_faults import play
+from gladewalk.rehearsal.member_faults import run_schedule
 from gladewalk.rehearsal.member_network import MemberNetwork, cluster
 from gladewalk.rehearsal.task_simulation import build_task_network
 
@@ -231,7 +231,7 @@
     member_names = tuple(net.nodes)
     for case in CASES:
         if case.kind == kind:
-            play(net, case.faults(member_names))
+            run_schedule(net, case.faults(member_names))
             net.run(4_000.0)
     net.max_timer_delay_ms = 60.0
     net.run(2_000.0)
--- a/tests/test_golden_rehearsal.py
+++ b/tests/test_golden_rehearsal.py
@@ -41,10 +41,10 @@
 from gladewalk.rehearsal.scripted_http2_server import Http2Request, ScriptedHttp2Server
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 from gladewalk.rehearsal.virtual.clients import REQUEST_CLASSES
-from gladewalk.rehearsal.virtual.hunt import hunt
 from gladewalk.rehearsal.virtual.loop import VirtualLoop, run_virtually
-from gladewalk.rehearsal.virtual.play import play, silence_logs
 from gladewalk.rehearsal.virtual.scenario import encode_scenario, generate_scenario, load_scenario
+from gladewalk.rehearsal.virtual.scenario_run import run_scenario, silence_logs
+from gladewalk.rehearsal.virtual.scenario_search import find_failing_scenarios
 from tests.mutants import all_ready, change_endpoint_list
 
 from .golden_http2_client import Http2Client
@@ -104,7 +104,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(VirtualLoop, "record_event", noted)
-        verdict = play(load_scenario(path, tuple(REQUEST_CLASSES)), 1)
+        verdict = run_scenario(load_scenario(path, tuple(REQUEST_CLASSES)), 1)
     report = verdict.report()
     del report["wall_s"]
     report["first"], report["last"] = lines[:ENDS], lines[: report["events"]][-ENDS:]
@@ -142,7 +142,7 @@
 def findings() -> list[Any]:
     """What the search finds in a director that ignores drains, and how it shrinks it."""
     silence_logs()
-    found = hunt([FINDING_SEED], change_endpoint_list(all_ready))
+    found = find_failing_scenarios([FINDING_SEED], change_endpoint_list(all_ready))
     return [
         [one.seed, one.rule, encode_scenario(one.generated), encode_scenario(one.minimized)] for one in found
     ]
@@ -242,7 +242,9 @@
         case "/gone":
             heard.writer.transport.abort()
         case _:
-            await heard.respond(404, f"{heard.method} {sorted(heard.headers.items())} {heard.body!r}".encode())
+            await heard.respond(
+                404, f"{heard.method} {sorted(heard.headers.items())} {heard.body!r}".encode()
+            )
 
 
 async def send_and_read(address: str, data: bytes) -> bytes:
--- a/tests/test_http2_retries.py
+++ b/tests/test_http2_retries.py
@@ -18,7 +18,7 @@
     Http2Script,
     ScriptedHttp2Server,
 )
-from gladewalk.rehearsal.write_soak import play_h2, ticket
+from gladewalk.rehearsal.write_soak import run_http2_soak, ticket
 from gladewalk.streams.stream_tracker import UNPROCESSED_REASONS, EndReason, StreamOutcome
 
 from .http2_rehearsal import (
@@ -165,7 +165,7 @@
 @async_test
 async def test_an_unresponsive_connection_is_detected_by_ping_and_not_used_any_more() -> None:
     def stop_responding(request: Http2Request) -> None:
-        request.connection.is_silent = True
+        request.connection.is_unresponsive = True
 
     server = ScriptedHttp2Server(stop_responding)
     async with rehearse(server, ping_after_ms=50.0, ping_wait_ms=50.0) as rehearsal:
@@ -231,7 +231,7 @@
 
 def test_2000_writes_with_random_faults_are_processed_at_most_once_and_retried_with_proof() -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        report = runner.run(play_h2(11, 2_000, 0.12, options_for("h2c")))
+        report = runner.run(run_http2_soak(11, 2_000, 0.12, options_for("h2c")))
     assert not report.has_violation, report
     assert len(report.statuses) == 2_000
     assert len(report.faults) == 13  # each kind of fault occurred
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,7 @@
 from gladewalk.leases.outputs import GRANT_SPACE, GrantRecord, Output, Save, Send, decode_grant, encode_row
 from gladewalk.leases.voter import Voter
 from gladewalk.rehearsal.lease_faults import Fault, FaultKind
-from gladewalk.rehearsal.lease_simulation import LeaseSimulation, play, play_skewed
+from gladewalk.rehearsal.lease_simulation import LeaseSimulation, run_schedule, run_with_skewed_clocks
 
 CONFIG = LeaseConfig()
 RETRY_MS = CONFIG.max_retry_delay_ms
@@ -348,7 +348,7 @@
 
 
 def play_seeds(seeds: range, fence_type: type[Fence]) -> list[Verdict]:
-    return [play(seed, 3 + 2 * (seed % 2), fence=fence_type()) for seed in seeds]
+    return [run_schedule(seed, 3 + 2 * (seed % 2), fence=fence_type()) for seed in seeds]
 
 
 def play_many(count: int, fence_type: type[Fence] = Fence) -> list[Verdict]:
@@ -370,6 +370,6 @@
 
 
 def test_clocks_skewed_to_the_bound_keep_holders_apart_and_without_the_margins_they_do_not() -> None:
-    assert all(play_skewed(seed).is_safe for seed in range(300))
+    assert all(run_with_skewed_clocks(seed).is_safe for seed in range(300))
     broken = LeaseConfig(stop_margin_ms=0.0, grant_margin_ms=0.0)
-    assert sum(play_skewed(seed, config=broken).overlaps > 0 for seed in range(300)) > 0
+    assert sum(run_with_skewed_clocks(seed, config=broken).overlaps > 0 for seed in range(300)) > 0
--- a/tests/test_members_busy.py
+++ b/tests/test_members_busy.py
@@ -13,7 +13,7 @@
 from gladewalk.members.history import unexpected_deaths
 from gladewalk.members.loop_delay import DEFERRAL_MS, GRACE_FACTOR, HALF_LIFE_MS, MIN_DELAY_MS, LoopDelay
 from gladewalk.members.messages import MemberState
-from gladewalk.rehearsal.member_faults import play
+from gladewalk.rehearsal.member_faults import run_schedule
 from gladewalk.rehearsal.member_network import MemberNetwork, cluster
 
 
@@ -44,7 +44,7 @@
         net = busy_cluster(5, seed, max_stall_ms)
         begun_ms, names = net.now_ms, tuple(net.nodes)
         faults = case.faults(names)
-        play(net, faults)
+        run_schedule(net, faults)
         net.run(12_000.0)
         expected = expected_failures(faults, names, begun_ms, MembershipConfig().max_stall_ms)
         assert not unexpected_deaths(net.observed, expected), seed
--- a/tests/test_members_history.py
+++ b/tests/test_members_history.py
@@ -14,7 +14,7 @@
     detection_times_ms,
     unexpected_deaths,
 )
-from gladewalk.rehearsal.member_faults import play
+from gladewalk.rehearsal.member_faults import run_schedule
 from gladewalk.rehearsal.member_network import cluster
 
 MAX_STALL_MS = MembershipConfig().max_stall_ms
@@ -27,7 +27,7 @@
         network = cluster(size, seed)
         begun_ms, names = network.now_ms, tuple(network.nodes)
         faults = case.faults(names)
-        play(network, faults)
+        run_schedule(network, faults)
         network.run(15_000.0)
         unexpected = unexpected_deaths(
             network.observed, expected_failures(faults, names, begun_ms, MAX_STALL_MS)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -284,7 +284,7 @@
 class Start(unittest.IsolatedAsyncioTestCase):
     async def test_requests_wait_for_the_coordinator_and_avoid_a_cache_that_drains(self) -> None:
         first, second = ScriptedServer(hit, "c1"), ScriptedServer(hit, "c2")
-        coordinator = await Coordinator(may_answer=asyncio.Event()).start()
+        coordinator = await Coordinator(responses_allowed=asyncio.Event()).start()
         for peer in (first, second):
             await peer.start()
         patient_settings = {
@@ -307,8 +307,8 @@
             writer.write(encode_request(path, trace=f"{key:016x}", wait_ms=LONG_TIMEOUT_MS))
         await wait_until(lambda: len(director.exchange.buffered_requests or ()) == 8)
         self.assertEqual((first.received, second.received), ([], []))
-        assert coordinator.may_answer is not None
-        coordinator.may_answer.set()
+        assert coordinator.responses_allowed is not None
+        coordinator.responses_allowed.set()
         for reader, writer in clients:
             self.assertEqual((await read_message(reader))[2], BODY)
             writer.close()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -12,8 +12,6 @@
 
 from gladewalk.config.platform import ConfigError
 from gladewalk.rehearsal.virtual.clients import REQUEST_CLASSES
-from gladewalk.rehearsal.virtual.hunt import hunt, minimize
-from gladewalk.rehearsal.virtual.play import play, silence_logs
 from gladewalk.rehearsal.virtual.rules import (
     DrainPeriod,
     History,
@@ -34,6 +32,8 @@
     generate_scenario,
     load_scenario,
 )
+from gladewalk.rehearsal.virtual.scenario_run import run_scenario, silence_logs
+from gladewalk.rehearsal.virtual.scenario_search import find_failing_scenarios, minimize
 from tests.mutants import DRAIN, MUTANTS, all_ready, build_scenario, change_endpoint_list
 
 ROOT = Path(__file__).parent.parent
@@ -46,23 +46,25 @@
 def rules_broken_by_mutant(number: int, seed: int) -> set[str]:
     silence_logs()
     mutant = MUTANTS[number]
-    return {one.rule for one in play(mutant.scenario, seed, mutant.change, mutant.settings).violations}
+    return {
+        one.rule for one in run_scenario(mutant.scenario, seed, mutant.change, mutant.settings).violations
+    }
 
 
 def rules_broken_by_director(number: int, seed: int) -> set[str]:
     """Rules that the unchanged director breaks in the mutant's scenario."""
     silence_logs()
-    return {one.rule for one in play(MUTANTS[number].scenario, seed).violations}
+    return {one.rule for one in run_scenario(MUTANTS[number].scenario, seed).violations}
 
 
 def violations_of_generated(seed: int) -> list[str]:
     silence_logs()
-    return [f"{seed}: {one}" for one in play(generate_scenario(seed), seed).violations]
+    return [f"{seed}: {one}" for one in run_scenario(generate_scenario(seed), seed).violations]
 
 
 def violations_of_ready(path: Path) -> list[str]:
     silence_logs()
-    verdict = play(load_scenario(path, CLASS_NAMES), 1)
+    verdict = run_scenario(load_scenario(path, CLASS_NAMES), 1)
     outcome_count = sum(counts.total() for counts in verdict.outcomes.values())
     assert outcome_count == len(verdict.history.requests) > 300
     return [f"{path.name}: {one}" for one in verdict.violations]
@@ -100,7 +102,7 @@
     assert [fault.kind for fault in least.faults] == [ScenarioFaultKind.DRAIN]
     assert least.faults[0].duration_s < DRAIN[0].duration_s
     seed = next(number for number in range(100) if count_drains(generate_scenario(number)) == 1)
-    findings = hunt([seed], change_endpoint_list(all_ready))
+    findings = find_failing_scenarios([seed], change_endpoint_list(all_ready))
     assert [(one.seed, one.rule) for one in findings] == [(seed, "drains kept")]
     assert [fault.kind for fault in findings[0].minimized.faults] == [ScenarioFaultKind.DRAIN]
 
