--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -92,7 +92,7 @@
             self.assertEqual(get_exit_code(0.05), DirectorTimeoutError.exit_code)
             for response in (b"220 hello\n", b'{"v":7,"data":1}\n', b""):
 
-                def respond(response: bytes = response) -> None:
+                def send_response(response: bytes = response) -> None:
                     connection, _ = listener.accept()
                     with connection:
                         connection.recv(1_000)
@@ -100,7 +100,7 @@
 
                 # The first connection in the queue is that of the query that timed out.
                 listener.accept()[0].close() if response == b"220 hello\n" else None
-                thread = threading.Thread(target=respond)
+                thread = threading.Thread(target=send_response)
                 thread.start()
                 self.assertEqual(
                     get_exit_code(), (VersionMismatchError if response else DirectorNotRunningError).exit_code
