--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -23,7 +23,7 @@
 
 from gladewalk.control.client import ControlError
 from gladewalk.faultnet.fleet import Fleet
-from gladewalk.faultnet.nemesis import play_fault
+from gladewalk.faultnet.nemesis import inject_fault
 from gladewalk.faultnet.schedule import Fault, FaultKind, generate_schedule
 from gladewalk.leases.history import Verdict
 from gladewalk.rehearsal.coordinator import Coordinator
@@ -73,7 +73,7 @@
         targets = (holder, *targets[1:])
     fault = msgspec.structs.replace(fault, at_ms=0.0, duration_ms=FAULT_MS, targets=targets)
     begun = time.time() * 1000.0
-    applied = asyncio.ensure_future(play_fault(fleet, fault))
+    applied = asyncio.ensure_future(inject_fault(fleet, fault))
     well = next(name for name in fleet.names if name not in targets)
     ordered = asyncio.ensure_future(order(fleet, well))
     if fault.kind not in (FaultKind.LOSS, FaultKind.DELAY):
--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -27,7 +27,7 @@
 from gladewalk.faultnet.expected_failures import expected_failures
 from gladewalk.faultnet.fleet import Fleet
 from gladewalk.faultnet.membership_cases import CASES, FaultCase
-from gladewalk.faultnet.nemesis import play_schedule
+from gladewalk.faultnet.nemesis import run_schedule
 from gladewalk.faultnet.schedule import FaultKind
 from gladewalk.members.config import MembershipConfig
 from gladewalk.members.history import (
@@ -143,7 +143,7 @@
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
     before, begun_ms = count_traffic(fleet), time.time() * 1000.0
-    await play_schedule(fleet, case.faults(fleet.names))
+    await run_schedule(fleet, case.faults(fleet.names))
     traffic = before.rate_until(count_traffic(fleet), len(fleet.names))
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
--- a/gladewalk/faultnet/nemesis.py
+++ b/gladewalk/faultnet/nemesis.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(min(half_period_s, max(0.0, end_s - time.monotonic())))
 
 
-async def play_fault(fleet: Fleet, fault: Fault) -> None:
+async def inject_fault(fleet: Fleet, fault: Fault) -> None:
     """Plays one fault from now to its end."""
     match fault.kind:
         case FaultKind.PAUSE:
@@ -73,12 +73,12 @@
             await fleet.start(fault.targets[0])
 
 
-async def play_schedule(fleet: Fleet, faults: list[Fault]) -> None:
+async def run_schedule(fleet: Fleet, faults: list[Fault]) -> None:
     """Plays every fault at its time from now; returns when the last is over."""
     started_s = time.monotonic()
 
     async def play_in_time(fault: Fault) -> None:
         await asyncio.sleep(max(0.0, fault.at_ms / 1000.0 - (time.monotonic() - started_s)))
-        await play_fault(fleet, fault)
+        await inject_fault(fleet, fault)
 
     await asyncio.gather(*(play_in_time(fault) for fault in faults))
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -12,7 +12,7 @@
 
 from gladewalk.control.client import ControlError
 from gladewalk.faultnet.fleet import LEASE_NAMES
-from gladewalk.faultnet.nemesis import play_fault, play_schedule
+from gladewalk.faultnet.nemesis import inject_fault, run_schedule
 from gladewalk.faultnet.schedule import Fault, FaultKind, encode_schedule, generate_schedule, load_schedule
 from gladewalk.store.maintenance import dump_store
 from tests.fleet_test_case import FleetTestCase, unix_now_ms
@@ -65,7 +65,7 @@
         for cut in (FaultKind.CUT_OUT, FaultKind.CUT_IN):
             victim = await self.holder_since(0.0)
             begun = unix_now_ms()
-            await play_fault(fleet, Fault(0.0, 4_000.0, cut, (victim,)))
+            await inject_fault(fleet, Fault(0.0, 4_000.0, cut, (victim,)))
             assert victim not in self.holders_between(begun + 2_500.0, begun + 4_000.0), cut
             assert self.holders_between(begun + 2_500.0, begun + 4_000.0), cut
             await self.holder_since(unix_now_ms())
@@ -76,7 +76,7 @@
         victim = await self.holder_since(0.0)
         side = (victim, next(name for name in fleet.names if name != victim))
         begun = unix_now_ms()
-        await play_fault(fleet, Fault(0.0, 5_000.0, FaultKind.PARTITION, side))
+        await inject_fault(fleet, Fault(0.0, 5_000.0, FaultKind.PARTITION, side))
         during = self.holders_between(begun + 2_500.0, begun + 5_000.0)
         assert during and not during & set(side), during
         assert self.verdict().is_safe, self.verdict()
@@ -118,7 +118,7 @@
         path = Path(self.folder.name) / "schedule.toml"
         path.write_text(encode_schedule(faults))
         assert load_schedule(path) == faults == generate_schedule(7, fleet.names, 12_000.0, 4, kinds=KINDS)
-        await play_schedule(fleet, load_schedule(path))
+        await run_schedule(fleet, load_schedule(path))
         assert await self.holder_since(unix_now_ms())
         verdict = self.verdict()
         assert verdict.is_safe and verdict.operations > 200, verdict
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -16,7 +16,7 @@
 from gladewalk.faultnet.expected_failures import expected_failures
 from gladewalk.faultnet.fleet import Fleet
 from gladewalk.faultnet.membership_cases import CASES, FaultCase
-from gladewalk.faultnet.nemesis import play_schedule
+from gladewalk.faultnet.nemesis import run_schedule
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.members.actions import MemberChange
 from gladewalk.members.config import MembershipConfig
@@ -71,7 +71,7 @@
         return "the members did not converge after their start"
     await asyncio.sleep(STABLE_SECONDS)
     begun_ms, faults = time.time() * 1000.0, case.faults(fleet.names)
-    await play_schedule(fleet, faults)
+    await run_schedule(fleet, faults)
     if case.kind == FaultKind.KILL:  # members would count as converged until the killed one has restarted
         await becomes_true(lambda: start_count(fleet, faults[0].targets[0]) == 2, RESTART_SECONDS)
     if not await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
@@ -148,7 +148,7 @@
             await asyncio.sleep(2.0)
             begun_ms = time.monotonic() * 1000.0
             for kind in (FaultKind.PAUSE, FaultKind.KILL, FaultKind.CUT_OUT):
-                await play_schedule(fleet, [Fault(0.0, 5_000.0, kind, ("n2",))])
+                await run_schedule(fleet, [Fault(0.0, 5_000.0, kind, ("n2",))])
                 assert await becomes_true(lambda: has_converged(fleet), CONVERGE_SECONDS), kind
             ended_ms = time.monotonic() * 1000.0
             times_ms = {uid: [at for at in times if at >= begun_ms] for uid, times in checked_ms.items()}
--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -7,7 +7,7 @@
 
 from gladewalk.control.client import ControlError
 from gladewalk.faultnet.fleet import Fleet
-from gladewalk.faultnet.nemesis import play_fault
+from gladewalk.faultnet.nemesis import inject_fault
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
@@ -73,7 +73,9 @@
             unix_now_ms()
         )  # it could forward at once: what hubs took needs no keepers
         alone = next(name for name in fleet.names if name != holder)
-        parted = asyncio.ensure_future(play_fault(fleet, Fault(0.0, 4_000.0, FaultKind.PARTITION, (alone,))))
+        parted = asyncio.ensure_future(
+            inject_fault(fleet, Fault(0.0, 4_000.0, FaultKind.PARTITION, (alone,)))
+        )
         await asyncio.sleep(0.2)
         code, said = await asyncio.to_thread(command, fleet, "purge", "--wait-s", "1", "o:1", alone)
         assert code == 1 and f"kept by {alone}" in said, said
