--- a/gladewalk/faultnet/fenced_resource.py
+++ b/gladewalk/faultnet/fenced_resource.py
@@ -33,7 +33,7 @@
     """A hub cache that purges, or the collector of reports.
 
     Every operation meets the fence first. Of what is accepted, a purge is done once for each id however often
-    it arrives; the pages of a report are put together. `is_deaf` drops everything, as a hub that is down.
+    it arrives; the pages of a report are put together. `is_unresponsive` drops everything, as a hub that is down.
     """
 
     def __init__(self, keys: tuple[AuthenticationKey, ...]) -> None:
@@ -41,7 +41,7 @@
         self.authenticator = MessageAuthenticator(keys, CLOCK_WINDOW_MS)
         self.random = random.SystemRandom()
         self.malformed_count = 0
-        self.is_deaf = False
+        self.is_unresponsive = False
         self.purges: dict[str, CompletedPurge] = {}  # by id
         self.repeated_purge_count = 0
         self.reports: list[dict[str, Any]] = []  # first pages, the latest last
@@ -61,7 +61,7 @@
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
         """Handles one operation and answers it, unless it is an accepted announcement of a token."""
-        if self.is_deaf:
+        if self.is_unresponsive:
             return
         now_ms = time.time() * 1000.0
         operation = self._open(data, now_ms)
--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -40,7 +40,7 @@
         # Hubs that are down while it is ordered; the holder is killed before it could forward anything, and
         # the director that took the order right after its acknowledgement.
         for hub in fleet.hubs:
-            hub.is_deaf = True
+            hub.is_unresponsive = True
         ids = [(await fleet.query(other, "purge", what=f"g:{number}"))["id"] for number in range(9)]
 
         async def acknowledged() -> None:
@@ -53,7 +53,7 @@
         await fleet.start(holder)
         await fleet.kill(other)
         for hub in fleet.hubs:
-            hub.is_deaf = False
+            hub.is_unresponsive = False
         assert await self.purged(fleet, ids, 15.0)
         for hub in fleet.hubs:
             assert [hub.purges[id].target for id in ids] == [f"g:{number}" for number in range(9)]
