--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -84,7 +84,7 @@
     ended_ms = begun_ms + max(fault.at_ms + fault.duration_ms for fault in faults)
     expected = expected_failures(faults, names, begun_ms, MAX_STALL_MS)
     detection_ms: tuple[float, ...] = ()
-    if case.must_be_found_dead:
+    if case.must_be_declared_dead:
         victim = faults[0].targets[0]
         observers = set(names) - {victim}
         found = detection_times_ms(changes, victim, begun_ms, observers)
@@ -211,7 +211,7 @@
         for size in sizes
         for run in range(runs)
         for case in CASES
-        if size > max(case.victims, default=0)
+        if size > max(case.target_indexes, default=0)
     ]
     return list(await asyncio.gather(*plays))
 
--- a/gladewalk/faultnet/membership_cases.py
+++ b/gladewalk/faultnet/membership_cases.py
@@ -18,14 +18,14 @@
     name: str
     kind: FaultKind
     duration_ms: float
-    victims: tuple[int, ...] = ()
+    target_indexes: tuple[int, ...] = ()
     amount: float = 0.0
-    must_be_found_dead: bool = False  # all others must declare the first victim dead meanwhile
+    must_be_declared_dead: bool = False  # all others must declare the first victim dead meanwhile
     is_partition: bool = False  # the victims are the smaller side: two of five, in proportion to the fleet
 
     def faults(self, names: tuple[str, ...], at_ms: float = 0.0) -> list[Fault]:
         """Returns the schedule for a fleet of these names, beginning at `at_ms`."""
-        victims = tuple(names[index] for index in self.victims if index < len(names))
+        victims = tuple(names[index] for index in self.target_indexes if index < len(names))
         if self.is_partition:
             victims = names[: max(1, len(names) * 2 // 5)]
         return [Fault(at_ms, self.duration_ms, self.kind, victims, self.amount)]
@@ -37,11 +37,11 @@
     FaultCase("one link, one way", FaultKind.LINK, 8_000.0, (0, 2)),
     FaultCase("a flapping link", FaultKind.FLAP, 9_000.0, (1, 2), amount=700.0),
     FaultCase("200 ms and jitter", FaultKind.DELAY, 12_000.0, amount=200.0),
-    FaultCase("heard by nobody", FaultKind.CUT_OUT, 7_000.0, (2,), must_be_found_dead=True),
+    FaultCase("heard by nobody", FaultKind.CUT_OUT, 7_000.0, (2,), must_be_declared_dead=True),
     FaultCase("a pause of 5 s", FaultKind.PAUSE, 5_000.0, (2,)),
-    FaultCase("a pause of 15 s", FaultKind.PAUSE, 15_000.0, (2,), must_be_found_dead=True),
-    FaultCase("a crash", FaultKind.KILL, 5_000.0, (2,), must_be_found_dead=True),
-    FaultCase("a crash of a seed", FaultKind.KILL, 5_000.0, (0,), must_be_found_dead=True),
+    FaultCase("a pause of 15 s", FaultKind.PAUSE, 15_000.0, (2,), must_be_declared_dead=True),
+    FaultCase("a crash", FaultKind.KILL, 5_000.0, (2,), must_be_declared_dead=True),
+    FaultCase("a crash of a seed", FaultKind.KILL, 5_000.0, (0,), must_be_declared_dead=True),
     FaultCase("a restart at once", FaultKind.KILL, 150.0, (2,)),
     FaultCase("two sides", FaultKind.PARTITION, 20_000.0, is_partition=True),
 )
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -81,7 +81,7 @@
     unexpected = unexpected_deaths(changes, expected_failures(faults, fleet.names, begun_ms, MAX_STALL_MS))
     victim = faults[0].targets[0] if faults[0].targets else ""
     detected_ms = detection_times_ms(changes, victim, begun_ms, set(fleet.names) - {victim})
-    is_missed = case.must_be_found_dead and len(detected_ms) < len(fleet.names) - 1
+    is_missed = case.must_be_declared_dead and len(detected_ms) < len(fleet.names) - 1
     if unexpected or is_missed or not has_converged(fleet):
         return f"unexpected {unexpected}, declared dead after {detected_ms}: {history_of(changes)}"
     return ""
--- a/tests/test_members_history.py
+++ b/tests/test_members_history.py
@@ -34,7 +34,7 @@
         )
         assert not unexpected, (seed, unexpected[:4])
         assert convergence_time_ms(network.observed, begun_ms, names) is not None, seed
-        if case.must_be_found_dead:
+        if case.must_be_declared_dead:
             victim = faults[0].targets[0]
             times_ms = detection_times_ms(network.observed, victim, begun_ms, set(names) - {victim})
             assert len(times_ms) == size - 1, (seed, times_ms)
