--- a/gladewalk/faultnet/fenced_resource.py
+++ b/gladewalk/faultnet/fenced_resource.py
@@ -33,7 +33,8 @@
     """A hub cache that purges, or the collector of reports.
 
     Every operation meets the fence first. Of what is accepted, a purge is done once for each id however often
-    it arrives; the pages of a report are put together. `is_unresponsive` drops everything, as a hub that is down.
+    it arrives; the pages of a report are put together. `is_unresponsive` drops everything, as a hub that is
+    down.
     """
 
     def __init__(self, keys: tuple[AuthenticationKey, ...]) -> None:
