--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -27,7 +27,7 @@
 from gladewalk.faultnet.expected_failures import expected_failures
 from gladewalk.faultnet.fleet import Fleet
 from gladewalk.faultnet.membership_cases import CASES, FaultCase
-from gladewalk.faultnet.nemesis import play_schedule
+from gladewalk.faultnet.nemesis import run_schedule
 from gladewalk.faultnet.schedule import FaultKind
 from gladewalk.members.config import MembershipConfig
 from gladewalk.members.history import (
@@ -84,7 +84,7 @@
     ended_ms = begun_ms + max(fault.at_ms + fault.duration_ms for fault in faults)
     expected = expected_failures(faults, names, begun_ms, MAX_STALL_MS)
     detection_ms: tuple[float, ...] = ()
-    if case.must_be_found_dead:
+    if case.must_be_declared_dead:
         victim = faults[0].targets[0]
         observers = set(names) - {victim}
         found = detection_times_ms(changes, victim, begun_ms, observers)
@@ -143,7 +143,7 @@
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
     before, begun_ms = count_traffic(fleet), time.time() * 1000.0
-    await play_schedule(fleet, case.faults(fleet.names))
+    await run_schedule(fleet, case.faults(fleet.names))
     traffic = before.rate_until(count_traffic(fleet), len(fleet.names))
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
@@ -211,7 +211,7 @@
         for size in sizes
         for run in range(runs)
         for case in CASES
-        if size > max(case.victims, default=0)
+        if size > max(case.target_indexes, default=0)
     ]
     return list(await asyncio.gather(*plays))
 
