--- a/benchmarks/known_red.py
+++ b/benchmarks/known_red.py
@@ -50,7 +50,7 @@
     return known
 
 
-def listed() -> dict[str, KnownRed]:
+def load_known_red() -> dict[str, KnownRed]:
     """Returns the entries of the project's list by their cases."""
     return read_known_red(KNOWN_RED_FILE.read_text(encoding="utf-8"))
 
@@ -60,6 +60,6 @@
     return f"{SOAK} {rule} {seed}"
 
 
-def describe(entry: KnownRed, outcome: str) -> str:
+def format_outcome(entry: KnownRed, outcome: str) -> str:
     """Returns the line that tells what a listed case did this time."""
     return f"KNOWN-RED {outcome}: {entry.case} | {entry.command} | {entry.seen} | issue {entry.issue}"
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ..known_red import KnownRed, describe, listed, soak_case
+from ..known_red import KnownRed, format_outcome, load_known_red, soak_case
 from .checker import RULES, Verdict, check
 from .directors import StartError
 from .history import History, RequestRecord
@@ -124,7 +124,9 @@
     broken = {case for one in played for case in one.cases()}
     cases = [soak_case(rule, one.seed) for one in played for rule in RULES]
     return [
-        describe(known[case], "failed" if case in broken else "passed") for case in cases if case in known
+        format_outcome(known[case], "failed" if case in broken else "passed")
+        for case in cases
+        if case in known
     ]
 
 
@@ -169,7 +171,7 @@
         ends.update(one.ends)
     served = sum(one.served for one in played)
     print(f"served={served} ends={dict(ends)} took={time.monotonic() - started_s:.0f}s")
-    known = listed()
+    known = load_known_red()
     print("\n".join([*report_known(played, known), report(played)]))
     return 1 if has_unknown_failure(played, known) else 0
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from benchmarks.known_red import SOAK, KnownRed, describe, listed
+from benchmarks.known_red import SOAK, KnownRed, format_outcome, load_known_red
 
 KNOWN_RED_ENTRIES = pytest.StashKey[dict[str, KnownRed]]()
 
@@ -13,7 +13,7 @@
 def pytest_configure(config: pytest.Config) -> None:
     """Reads the list; a malformed list ends the test run."""
     config.stash[KNOWN_RED_ENTRIES] = {
-        case: entry for case, entry in listed().items() if not case.startswith(f"{SOAK} ")
+        case: entry for case, entry in load_known_red().items() if not case.startswith(f"{SOAK} ")
     }
 
 
@@ -33,4 +33,4 @@
         for report in terminalreporter.stats.get(kind, [])
     }
     for case, entry in config.stash[KNOWN_RED_ENTRIES].items():
-        terminalreporter.write_line(describe(entry, outcomes.get(case, "not run")))
+        terminalreporter.write_line(format_outcome(entry, outcomes.get(case, "not run")))
