--- a/gladewalk/leases/candidate.py
+++ b/gladewalk/leases/candidate.py
@@ -1,14 +1,16 @@
 """Candidate and holder side of leases: elections, renewals and the fencing token of each task.
 
-A candidate first holds a pre-vote (Ongaro, 2014, section 9.6), which binds no voter. Once a majority would
-grant the lease it asks for votes under the next term; with a majority of grants it holds the lease for
-`hold_ms` on its own clock from when it asked. Without the pre-vote, a request that only a few voters grant
-(one that has just started, one that a message was lost to) binds them to a candidate that never holds, and
-the holder has to raise its term past it again and again.
-
-Whatever a holder does it does with `token()` read just before, which is None once the lease is over: a
-holder that was paused, cut off or outvoted stops by its own clock, and what it sent before is fenced at the
-resource (`fence.py`). No I/O: time and randomness are passed in.
+A candidate begins with a pre-vote (Ongaro, 2014, section 9.6), which binds no voter. Once a majority would
+grant the lease, the candidate requests votes under the next term. With a majority of grants it holds the
+lease for `hold_ms` on its own clock, counted from when it sent the request. Without the pre-vote, a request
+that only a minority grants (since other voters have just started or messages were lost) would bind those
+voters to a candidate that does not win, and the holder would have to raise its term past that candidate's
+term again and again.
+
+A holder reads `token()` immediately before each operation; the token is None once the lease has ended. A
+holder that was paused, partitioned or outvoted therefore stops by its own clock, and resources reject its
+earlier operations once they have accepted a later token (`fence.py`). No I/O: time and randomness are passed
+in.
 """
 
 from __future__ import annotations
@@ -29,11 +31,12 @@
 from .outputs import EventKind, LeaseEvent, Output, Send
 from .status import LeaseStatus
 
-MAX_ROUND_FRACTION = 0.6  # of a lease: the longest that a round waits where responses are slow
-ROUND_TIMEOUT_FACTOR = 1.5  # of the observed response time
+MAX_ROUND_FRACTION = 0.6  # longest wait of a round for slow responses, as a fraction of the lease
+ROUND_TIMEOUT_FACTOR = 1.5  # round timeout as a multiple of the observed response time
 EWMA_ALPHA = 0.1  # weight of a response that was faster than the average
-SUCCESSION_SPREAD = 0.25  # of the retry delay: spread of candidates that know when the lease is free
-MAX_TIMED_ROUNDS = 16  # latest rounds whose responses are timed
+# Random delay of candidates that know when the lease is free, as a fraction of the maximum retry delay.
+SUCCESSION_SPREAD = 0.25
+MAX_TIMED_ROUNDS = 16  # only the responses to this many latest rounds are timed
 
 
 @dataclass(slots=True)
@@ -45,37 +48,37 @@
     sent_at_ms: float
     granted_by: set[str] = field(default_factory=set)
     denied_by: set[str] = field(default_factory=set)
-    remaining_ms: dict[str, float] = field(default_factory=dict)  # pre-vote: until each voter would grant
+    remaining_ms: dict[str, float] = field(default_factory=dict)  # of a pre-vote: until the voter grants
 
 
 @dataclass(slots=True)
 class LeaseState:
     """One task's lease as this candidate knows it; times are on its own clock."""
 
-    term: int = 0  # held, or 0
+    term: int = 0  # under which the lease is held, 0 if it is not
     expires_at_ms: float = float("-inf")
     renewed_at_ms: float = float("-inf")  # when the last renewal was sent
-    highest_term: int = 0  # seen anywhere
+    highest_term: int = 0  # seen in any message
     next_election_at_ms: float = 0.0
-    election: ElectionRound | None = None  # of a candidate
-    renewals: dict[int, ElectionRound] = field(default_factory=dict)  # of a holder, by number
-    since_ms: float = 0.0  # when it was won or lost
+    election: ElectionRound | None = None  # in progress, at a candidate
+    renewals: dict[int, ElectionRound] = field(default_factory=dict)  # sent by a holder, by round number
+    changed_at_ms: float = 0.0  # when the lease was won or lost
 
 
 class ResponseTimer:
-    """Estimates the voters' response time: up at once, down by a moving average."""
+    """Estimates the voters' response time: rises at once, falls by a weighted moving average."""
 
     def __init__(self) -> None:
         self.average_ms = 0.0
         self._sent_at_ms: dict[int, float] = {}  # by round number, the latest rounds only
 
     def note_sent(self, round_number: int, now_ms: float) -> None:
-        """Begins to time a round's responses."""
+        """Begins to time the responses to a round."""
         self._sent_at_ms[round_number] = now_ms
         self._sent_at_ms.pop(round_number - MAX_TIMED_ROUNDS, None)
 
     def note_response(self, round_number: int, now_ms: float) -> None:
-        """Adds a response; those to rounds that are no longer timed are ignored."""
+        """Adds a response; responses to rounds that are no longer timed are ignored."""
         sent_at_ms = self._sent_at_ms.get(round_number)
         if sent_at_ms is None:
             return
@@ -85,7 +88,7 @@
 
 
 class LeaseCandidate:
-    """One director's leases; `voters` are names of directors, this one among them as a rule."""
+    """One director's leases; `voters` are names of directors, usually including this one."""
 
     def __init__(
         self,
@@ -98,12 +101,12 @@
     ) -> None:
         self.name, self.voters, self.config, self.random = name, voters, config, rng
         self.needed_votes = majority(len(voters))
-        self.blocking_votes = len(voters) - self.needed_votes + 1  # so many denials leave no majority
+        self.blocking_votes = len(voters) - self.needed_votes + 1  # this many denials rule out a majority
         self.last_round_number = 0
         self.response_timer = ResponseTimer()
         self.leases = {
             task: LeaseState(
-                next_election_at_ms=now_ms + rng.random() * config.max_retry_delay_ms, since_ms=now_ms
+                next_election_at_ms=now_ms + rng.random() * config.max_retry_delay_ms, changed_at_ms=now_ms
             )
             for task in tasks
         }
@@ -114,28 +117,28 @@
         return lease.term if lease.term and now_ms < lease.expires_at_ms else None
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Expires leases, gives up rounds that took too long, renews, and begins elections."""
+        """Expires leases, abandons rounds that timed out, sends renewals, and begins elections."""
         outputs: list[Output] = []
         for task, lease in self.leases.items():
             if lease.term and now_ms >= lease.expires_at_ms:
                 outputs += self._expire(task, lease, now_ms)
             if lease.election is not None and now_ms >= self._round_deadline_ms(lease.election):
-                outputs += self._give_up_round(task, lease, now_ms)
+                outputs += self._abandon_round(task, lease, now_ms)
             if lease.election is None:
                 outputs += self._renew_or_elect(task, lease, now_ms)
         return outputs
 
     def next_due_ms(self) -> float:
-        """Returns when `tick` has something to do at the latest."""
+        """Returns the latest time at which `tick` has to be called next."""
         return min((self._lease_due_ms(lease) for lease in self.leases.values()), default=float("inf"))
 
     def round_timeout_ms(self) -> float:
-        """Returns how long a round waits for responses, in ms: longer where they were seen to be slow."""
+        """Returns how long a round waits for responses, in ms; longer if recent responses were slow."""
         wanted_ms = max(self.config.round_timeout_ms, ROUND_TIMEOUT_FACTOR * self.response_timer.average_ms)
         return min(wanted_ms, MAX_ROUND_FRACTION * self.config.lease_ms)
 
     def handle_pre_vote_response(self, response: PreVoteResponse, now_ms: float) -> list[Output]:
-        """Asks for votes once a majority would grant, or waits until one might."""
+        """Requests votes once a majority would grant the lease, or waits until a majority might."""
         self._note_response(response.round_number, response.voter, now_ms)
         lease = self.leases.get(response.task)
         if lease is None:
@@ -149,13 +152,13 @@
             lease.election = self._new_round(lease.highest_term + 1, now_ms)
             return self._request_votes(response.task, lease.election)
         promised_ms = sorted(left_ms for left_ms in pre_vote.remaining_ms.values() if left_ms > 0.0)
-        if len(promised_ms) >= self.blocking_votes:  # no majority before the first of them are free
+        if len(promised_ms) >= self.blocking_votes:  # no majority until fewer promises are left
             wait_ms = promised_ms[len(promised_ms) - self.blocking_votes]
-            return self._give_up_round(response.task, lease, now_ms, wait_ms)
+            return self._abandon_round(response.task, lease, now_ms, wait_ms)
         return []
 
     def handle_vote_granted(self, granted: VoteGranted, now_ms: float) -> list[Output]:
-        """Counts a vote; with a majority the lease is won or renewed, from when the round was sent."""
+        """Counts a vote; a majority wins or renews the lease, counted from when the round was sent."""
         self._note_response(granted.round_number, granted.voter, now_ms)
         lease = self.leases.get(granted.task)
         if lease is None:
@@ -167,14 +170,14 @@
         votes.granted_by.add(granted.voter)
         if len(votes.granted_by) < self.needed_votes:
             return []
-        # Counted from when it was sent: every voter's promise began later.
+        # Counted from when the request was sent, since every voter's promise began after that.
         expires_at_ms = votes.sent_at_ms + self.config.hold_ms
         lease.highest_term = max(lease.highest_term, votes.term)
         if is_renewal:
             del lease.renewals[granted.round_number]
         else:
             lease.election = None
-            lease.renewed_at_ms, lease.since_ms = votes.sent_at_ms, now_ms
+            lease.renewed_at_ms, lease.changed_at_ms = votes.sent_at_ms, now_ms
         lease.expires_at_ms = max(lease.expires_at_ms, expires_at_ms) if lease.term else expires_at_ms
         if votes.term <= lease.term:
             return []
@@ -183,37 +186,37 @@
         return [LeaseEvent(kind, granted.task, votes.term, self.name)]
 
     def handle_vote_denied(self, denied: VoteDenied, now_ms: float) -> list[Output]:
-        """Counts a denial; a round that can win no majority is given up at once."""
+        """Counts a denial; a round that can no longer win a majority is abandoned at once."""
         self._note_response(denied.round_number, denied.voter, now_ms)
         lease = self.leases.get(denied.task)
         if lease is None:
             return []
-        # One voter that granted a higher term proves nothing of a majority: a holder goes on until its lease
-        # runs out, which happens if a majority denies its renewals.
+        # A higher term granted by one voter does not imply a majority for that term. A holder continues until
+        # its lease expires, as it does if a majority denies its renewals.
         lease.highest_term = max(lease.highest_term, denied.highest_term)
         if lease.election is None or lease.election.number != denied.round_number:
             return []
         lease.election.denied_by.add(denied.voter)
         if len(lease.election.denied_by) >= self.blocking_votes:
-            return self._give_up_round(denied.task, lease, now_ms, denied.remaining_ms)
+            return self._abandon_round(denied.task, lease, now_ms, denied.remaining_ms)
         return []
 
     def handle_release(self, release: LeaseRelease, now_ms: float) -> list[Output]:
-        """Schedules an election after another director's release, later if it names another successor."""
+        """Schedules an election after another director's release; later if this one is not the successor."""
         lease = self.leases.get(release.task)
         if lease is None or lease.term:
             return []
         lease.highest_term = max(lease.highest_term, release.term)
         if lease.election is None and release.holder != self.name:
-            is_open = release.successor in ("", self.name)
-            delay_ms = 0.0 if is_open else self.config.promise_ms
+            is_eligible = release.successor in ("", self.name)
+            delay_ms = 0.0 if is_eligible else self.config.promise_ms
             is_successor = release.successor == self.name
             spread_ms = 0.0 if is_successor else SUCCESSION_SPREAD * self.config.max_retry_delay_ms
             lease.next_election_at_ms = now_ms + delay_ms + self.random.random() * spread_ms
         return []
 
     def handle_fencing(self, task: str, term: int, highest_token: int, now_ms: float) -> list[Output]:
-        """Gives the lease up if a resource rejected `term` for a higher token: a later holder exists."""
+        """Ends the lease if a resource rejected `term` for a higher token, which only a later holder has."""
         lease = self.leases.get(task)
         if lease is None:
             return []
@@ -225,12 +228,12 @@
         return [LeaseEvent(EventKind.FENCED, task, term, self.name)]
 
     def step_down(self, task: str, now_ms: float, successor: str = "") -> list[Output]:
-        """Gives a held lease up, so that another director may take it at once; nothing if it is not held."""
+        """Releases a lease, so that another director may win it at once; does nothing if it is not held."""
         lease = self.leases[task]
         if not lease.term:
             return []
         outputs = self._release(task, lease, EventKind.RELEASED, now_ms, successor)
-        lease.next_election_at_ms = now_ms + self.config.promise_ms  # another takes it first
+        lease.next_election_at_ms = now_ms + self.config.promise_ms  # another director wins the lease first
         return outputs
 
     def status(self, now_ms: float) -> dict[str, LeaseStatus]:
@@ -240,7 +243,7 @@
                 token=self.token(task, now_ms) or 0,
                 remaining_ms=max(lease.expires_at_ms - now_ms, 0.0),
                 highest_term=lease.highest_term,
-                in_state_ms=now_ms - lease.since_ms,
+                in_state_ms=now_ms - lease.changed_at_ms,
             )
             for task, lease in sorted(self.leases.items())
         }
@@ -276,8 +279,8 @@
         return [Send(voter, message) for voter in self.voters]
 
     def _renew(self, task: str, lease: LeaseState, now_ms: float) -> list[Output]:
-        # Past a higher term that some voters granted to a candidate which did not win: else they deny this
-        # holder's renewals for good, and the majority depends on the rest.
+        # If voters have granted a higher term to a candidate that did not win, the renewal uses a term above
+        # that. Otherwise they would deny all renewals, and the majority would depend on the other voters.
         term = lease.term if lease.highest_term <= lease.term else lease.highest_term + 1
         renewal = self._new_round(term, now_ms)
         lease.renewals = {
@@ -290,8 +293,8 @@
         return self._request_votes(task, renewal)
 
     def _expire(self, task: str, lease: LeaseState, now_ms: float) -> list[Output]:
-        # Released as well: else voters that hear this director and that it does not hear keep the lease
-        # promised to it for nothing.
+        # An expired lease is released as well. Otherwise voters that receive this director's messages, but
+        # whose responses do not reach it, would keep their promise to a director that cannot hold the lease.
         outputs = self._release(task, lease, EventKind.EXPIRED, now_ms)
         lease.next_election_at_ms = now_ms + self.random.random() * self.config.max_retry_delay_ms
         return outputs
@@ -299,7 +302,7 @@
     def _release(
         self, task: str, lease: LeaseState, kind: EventKind, now_ms: float, successor: str = ""
     ) -> list[Output]:
-        """Ends a held lease and notifies every voter, for its term and those of renewals under way."""
+        """Ends a held lease and notifies every voter, for its term and the terms of renewals in flight."""
         terms = sorted({lease.term, *(renewal.term for renewal in lease.renewals.values())})
         lease.highest_term = max(lease.highest_term, terms[-1])
         outputs: list[Output] = [LeaseEvent(kind, task, lease.term, self.name)]
@@ -309,28 +312,28 @@
         return outputs
 
     def _clear(self, lease: LeaseState, now_ms: float) -> None:
-        lease.term, lease.since_ms, lease.election = 0, now_ms, None
+        lease.term, lease.changed_at_ms, lease.election = 0, now_ms, None
         lease.renewals.clear()
 
-    def _give_up_round(
+    def _abandon_round(
         self, task: str, lease: LeaseState, now_ms: float, wait_ms: float = 0.0
     ) -> list[Output]:
-        """Ends a round without a majority and hands back its grants.
+        """Ends a round without a majority and releases its grants.
 
-        Else its voters stay bound to a candidate that never holds, and a split vote lasts a whole promise.
-        `wait_ms`: until the voters' promises are free, 0 if that is not known.
+        Otherwise its voters would stay bound to a candidate that did not win, and a split vote would last for
+        a whole promise. `wait_ms` is the time until the voters' promises end, 0 if that is not known.
         """
         election, lease.election = lease.election, None
-        # Candidates that know when the promises end come soon after, each at its own moment; but no later
-        # than half a lease, since a holder may release before and its message be lost.
+        # Candidates that know when the promises end retry soon after that, each after its own random delay.
+        # They wait half a lease at most, since a holder may release earlier and its message may be lost.
         spread_ms = max(self.config.max_retry_delay_ms, self.response_timer.average_ms)
         spread_ms *= SUCCESSION_SPREAD if wait_ms else 1.0
         delay_ms = min(wait_ms, self.config.lease_ms / 2.0)
         lease.next_election_at_ms = now_ms + delay_ms + self.random.random() * spread_ms
-        if election is None or not election.term:  # a pre-vote bound nobody
+        if election is None or not election.term:  # a pre-vote binds no voter
             return []
-        # A grant may have been given and lost: whoever did not deny is notified. A release may arrive after a
-        # later round's grant: that round must be of another term.
+        # A grant may have been lost on its way, so every voter that did not deny is notified. The release may
+        # arrive after the next round's grant, so that round must use another term.
         lease.highest_term = max(lease.highest_term, election.term)
         release = LeaseRelease(task, election.term, self.name)
         return [Send(voter, release) for voter in self.voters if voter not in election.denied_by]
--- a/gladewalk/leases/configuration.py
+++ b/gladewalk/leases/configuration.py
@@ -1,4 +1,4 @@
-"""Times of a lease, and the inequality that keeps it exclusive while clock rates stay within their bound."""
+"""Durations of a lease, and the condition on them that keeps it exclusive within a bound on clock drift."""
 
 from __future__ import annotations
 
@@ -12,33 +12,32 @@
     """Durations in ms on a director's own monotonic clock; `clock_drift` bounds its rate against true time.
 
     A voter promises a lease for `promise_ms` from when it received the request; the holder uses it for
-    `hold_ms` from when it sent the request. It has stopped before any voter can promise the lease to another
-    if hold * (1 + drift) <= promise * (1 - drift) (leases:
-    Gray and Cheriton, 1989).
+    `hold_ms` from when it sent the request. If hold * (1 + drift) <= promise * (1 - drift), the holder has
+    stopped before any voter can promise the lease to another candidate (leases: Gray and Cheriton, 1989).
     """
 
     lease_ms: float = 1_000.0
     clock_drift: float = 0.02  # a clock may run 2 % fast or slow
-    stop_margin_ms: float = 100.0  # the holder stops so much before its lease ends
-    grant_margin_ms: float = 50.0  # a voter waits so much past the end before it promises to another
+    stop_margin_ms: float = 100.0  # the holder stops this long before its lease ends
+    grant_margin_ms: float = 50.0  # past the lease's end, before a voter promises it to another candidate
     renewal_interval_ms: float = 300.0
-    round_timeout_ms: float = 250.0  # an election round without a majority by then is given up
-    max_retry_delay_ms: float = 200.0  # a candidate's delay before its next round is drawn from 0 to this
+    round_timeout_ms: float = 250.0  # an election round without a majority by then is abandoned
+    max_retry_delay_ms: float = 200.0  # upper bound of a candidate's random delay before its next round
 
     @property
     def hold_ms(self) -> float:
-        """How long a lease is used, from when its holder asked for it."""
+        """How long a holder uses a lease, in ms from when it sent the request."""
         return self.lease_ms - self.stop_margin_ms
 
     @property
     def promise_ms(self) -> float:
-        """How long a voter promises a lease, from when it was asked for it."""
+        """How long a voter promises a lease, in ms from when it received the request."""
         return self.lease_ms + self.grant_margin_ms
 
     def validation_error(self) -> str | None:
-        """Returns what makes these times unsafe or useless as `setting: reason`, or None."""
+        """Returns why these times are unsafe or unusable, as `setting: reason`, or None if they are valid."""
         if not 0.0 <= self.clock_drift < MAX_CLOCK_DRIFT:
-            return "drift: not a fraction under 0.5"
+            return "drift: must be at least 0 and below 0.5"
         if self.hold_ms <= 0.0:
             return "stop_margin_ms: leaves no time to hold"
         if self.hold_ms * (1.0 + self.clock_drift) > self.promise_ms * (1.0 - self.clock_drift):
@@ -51,5 +50,5 @@
 
 
 def majority(voter_count: int) -> int:
-    """Returns the smallest count such that any two sets of so many voters overlap."""
+    """Returns the smallest number of voters such that any two sets of that size overlap."""
     return voter_count // 2 + 1
--- a/gladewalk/leases/dispatch.py
+++ b/gladewalk/leases/dispatch.py
@@ -1,4 +1,4 @@
-"""Passes an election message to the side of a director that it is for: its voter, its candidate or both."""
+"""Dispatches each election message to a director's voter, its candidate or both."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def dispatch_election_message(
     voter: Voter, candidate: LeaseCandidate, message: ElectionMessage, now_ms: float
 ) -> list[Output]:
-    """Handles one message at `now_ms` on the director's lease clock and returns what follows from it."""
+    """Handles one message at `now_ms` on the director's lease clock and returns the resulting outputs."""
     match message:
         case VoteRequest():
             return voter.handle_vote_request(message, now_ms)
--- a/gladewalk/leases/fence.py
+++ b/gladewalk/leases/fence.py
@@ -22,7 +22,7 @@
 
 
 class Fence:
-    """Highest accepted token of each task, and the first `max_records` operations in order of arrival."""
+    """Highest accepted token of each task, and the first `max_records` operations as they were received."""
 
     def __init__(self, max_records: int = 1_000_000) -> None:
         self.highest_tokens: dict[str, int] = {}
--- a/gladewalk/leases/messages.py
+++ b/gladewalk/leases/messages.py
@@ -1,8 +1,8 @@
 """Datagrams of the lease protocol, encoded as tagged msgpack arrays.
 
 Directors exchange election messages, purge requests and metrics; directors and fenced resources exchange
-fenced operations and their responses. The tags and the order of fields are the wire format: neither may
-change. Each message is one datagram, sealed by `members.seal`.
+fenced operations and their responses. The tags and the order of the fields are the wire format and must
+not change. Each message is one datagram, signed by `members.authenticator`.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import msgspec
 from msgspec import Meta
 
-MAX_BODY_BYTES = 1_024  # of a fenced operation: it fits into a datagram with its seal
-MAX_TARGET_CHARACTERS = 200  # of what a purge request names
+MAX_BODY_BYTES = 1_024  # of a fenced operation, so that a signed one fits into a datagram
+MAX_TARGET_CHARACTERS = 200  # of a purge request's target
 MAX_SYNC_REQUESTS = 8  # purge requests in one synchronisation response, at most
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks a voter to grant the lease of `task` under `term`; the holder renews with its own term."""
+    """Requests a voter's grant of the lease of `task` under `term`; a holder sends it to renew its lease."""
 
     task: str
     term: int
     candidate: str
-    round_number: int  # answers carry it, so that those to older rounds are recognised
+    round_number: int  # responses repeat it, so that those to older rounds are recognised
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Asks whether a vote request would be granted, without binding the voter (Ongaro, 2014, section 9.6)."""
+    """Queries whether a vote request would be granted; binds no voter (Ongaro, 2014, section 9.6)."""
 
     task: str
     candidate: str
@@ -46,8 +46,8 @@
     voter: str
 
 
-class _VoterAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter tells of its promise: hints only, since time passes on the way."""
+class _VoterResponse(msgspec.Struct, frozen=True, array_like=True):
+    """A voter's promise when it responded: only a hint, since time passes until it is received."""
 
     task: str
     round_number: int
@@ -57,16 +57,19 @@
     remaining_ms: float
 
 
-class VoteDenied(_VoterAnswer, frozen=True, array_like=True, tag=3):
-    """A voter's refusal, with the highest term it granted, its holder and the time left."""
+class VoteDenied(_VoterResponse, frozen=True, array_like=True, tag=3):
+    """A voter's denial, with the highest term it granted, that term's holder and the remaining time."""
 
 
-class PreVoteResponse(_VoterAnswer, frozen=True, array_like=True, tag=14):
-    """Answer to a pre-vote; with `remaining_ms` 0 a term above `highest_term` would be granted."""
+class PreVoteResponse(_VoterResponse, frozen=True, array_like=True, tag=14):
+    """Response to a pre-vote; if `remaining_ms` is 0, a term above `highest_term` would be granted."""
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The holder of `term` has stopped, in favour of `successor` if one is named; sent to every director."""
+    """The lease under `term` has ended, in favour of `successor` if one is named; sent to every director.
+
+    A candidate sends it too, to the voters that may have granted a round which it abandoned.
+    """
 
     task: str
     term: int
@@ -75,19 +78,19 @@
 
 
 class FencedOperation(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """An operation on a fenced resource; with `number` 0 it announces the token and does nothing else."""
+    """An operation on a fenced resource; with `number` 0 it only announces the token."""
 
     task: Name
     token: Number
     holder: Name
     performed_at_ms: float  # wall time at the holder
-    number: Number = 0  # of the holder's operation: the response carries it
+    number: Number = 0  # of the holder's operation; the response repeats it
     operation_id: Annotated[str, Meta(max_length=64)] = ""  # idempotency key
     body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)] = b""
 
 
 class OperationResponse(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """A fenced resource's answer: accepted, or rejected since it has accepted `highest_token` before."""
+    """A fenced resource's response: accepted, or rejected since it accepted `highest_token` before."""
 
     task: Name
     token: Number
@@ -120,7 +123,7 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """The lease holder asks a replica for its open purge requests with ids above `after_id`."""
+    """The lease holder requests a replica's open purge requests with ids above `after_id`."""
 
     requester: Name
     round_number: Number
@@ -167,6 +170,6 @@
 
 
 def decode(payload: bytes) -> Message:
-    """Decodes a payload; raises `msgspec.DecodeError` or `ValueError` for anything that is no message."""
+    """Decodes a payload; raises `msgspec.DecodeError` or `ValueError` if it is not a message."""
     message: Message = _decoder.decode(payload)
     return message
--- a/gladewalk/leases/outputs.py
+++ b/gladewalk/leases/outputs.py
@@ -1,4 +1,4 @@
-"""What the lease state machines ask their driver to do: send, persist, and log an event."""
+"""Outputs of the lease state machines, which their driver carries out: sends, saves and log events."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def decode_grant(row: bytes) -> GrantRecord:
-    """Decodes a stored grant; raises `msgspec.MsgspecError` for any other row."""
+    """Decodes a stored grant; raises `msgspec.MsgspecError` if the row has another form."""
     record: GrantRecord = _grant_decoder.decode(row)
     return record
 
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send a message; the driver knows the recipient's address."""
+    """A message to send; the driver knows the recipient's address."""
 
     recipient: str  # a director's name, or a fenced resource's ("@task/index")
     message: Message
@@ -64,17 +64,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseEvent:
-    """Log and count an event."""
+    """An event to log and count."""
 
     kind: EventKind
-    subject: str  # a task, or the id of a purge request
+    subject: str  # name of a task, or id of a purge request
     term: int  # 0 for purge requests that are not completed
     director: str
 
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Write a row, or delete it if `value` is None; `on_durable` is carried out once that is durable."""
+    """A row to write, or to delete if `value` is None; `on_durable` is carried out once that is durable."""
 
     space: str
     key: str
--- a/gladewalk/leases/status.py
+++ b/gladewalk/leases/status.py
@@ -1,4 +1,4 @@
-"""Leases as the control socket shows them; the JSON keys are part of the control protocol."""
+"""Status of leases at the control socket; the JSON keys are part of the control protocol."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PurgeState(Enum):
-    """How far a purge request is."""
+    """Progress of a purge request."""
 
     OPEN = "open"
     COMPLETED = "finished"
@@ -25,7 +25,7 @@
     request_id: str
     state: PurgeState
     replicas: list[str]  # sorted; empty once it is completed
-    token: int  # it was completed under, 0 if it is not
+    token: int  # under which it was completed, 0 if it is not
     is_acknowledged: bool
 
 
@@ -34,7 +34,7 @@
 
     term: int
     holder: str
-    remaining_ms: float  # 0 if it has lapsed
+    remaining_ms: float  # 0 if it has ended
 
 
 class LeaseStatus(
@@ -46,8 +46,8 @@
 
     token: int  # 0 if it is not held
     remaining_ms: float
-    highest_term: int  # seen anywhere
-    in_state_ms: float  # since it was won or lost
+    highest_term: int  # seen in any message
+    in_state_ms: float  # since the lease was won or lost
 
 
 class HolderTasksStatus(
@@ -80,14 +80,14 @@
 
 
 class HandOnResult(msgspec.Struct, frozen=True, rename={"task": "duty", "successor": "to"}):
-    """A lease that was given up."""
+    """A lease that its holder released."""
 
     task: str
-    term: int  # it was held under
-    successor: str  # empty: anybody
+    term: int  # under which it was held
+    successor: str  # empty: any director
 
 
 class PurgeReceipt(msgspec.Struct, frozen=True, rename={"request_id": "id"}):
-    """A purge that was accepted; its state is asked for by the id."""
+    """A purge that was accepted; its status is queried by the id."""
 
     request_id: str
--- a/gladewalk/leases/voter.py
+++ b/gladewalk/leases/voter.py
@@ -1,14 +1,15 @@
-"""Voter side of a lease election: which lease is promised to whom, under which term and until when.
+"""Voter side of a lease election: each lease is promised to one candidate, under a term and for a time.
 
-A term is granted to one candidate alone, and only above every term that this voter granted before, so that
+A term is granted to only one candidate, and only if it is above every term that this voter granted before, so
 two majorities for one term cannot exist. The holder of the highest term may be granted a higher one at any
-time: a holder raises its term past one that a candidate won here but not elsewhere. A promise to another
-candidate waits until the last one, plus the grant margin, has passed on this voter's clock. After a start
-nothing new is promised for one promise time, since a promise made before the start may still run.
-
-The highest term of each task and its holder outlive a restart: a grant of a new term is sent once its row is
-durable (`Save.on_durable`), and until the driver calls `mark_durable` every further grant of that term waits
-for a row of its own, as a Paxos acceptor's promise (Lamport, 2001, section 2.2). No I/O.
+time: a holder raises its term past one that another candidate was granted by some voters, but not by a
+majority. A term for another candidate is granted only after the last promise, plus the grant margin, has
+ended on this voter's clock. After a start nothing new is promised for one promise time, since a promise made
+before the start may still be valid.
+
+The highest term of each task and its holder are kept over a restart: a grant of a new term is sent once its
+row is durable (`Save.on_durable`), and until the driver calls `mark_durable` every further grant of that term
+waits for a row of its own, like a Paxos acceptor's promise (Lamport, 2001, section 2.2). No I/O.
 """
 
 from __future__ import annotations
@@ -44,12 +45,12 @@
     holder: str = ""
     durable_term: int = 0
     expires_at_ms: float = NEVER_MS
-    successor: str = ""  # named by the last release: nobody else is promised the lease for a while
+    successor: str = ""  # named by the last release; others wait until `reserved_until_ms`
     reserved_until_ms: float = NEVER_MS
 
 
 def decode_grants(rows: Mapping[str, bytes]) -> dict[str, GrantRecord]:
-    """Decodes stored grants by task; rows of another form were never a grant and are left out."""
+    """Decodes stored grants by task; rows of another form are not grants and are skipped."""
     grants = {}
     for task, row in rows.items():
         try:
@@ -60,13 +61,13 @@
 
 
 class Voter:
-    """Answers vote requests, pre-votes and releases; `restored` has the durable grants by task."""
+    """Responds to vote requests, pre-votes and releases; `restored` has the durable grants by task."""
 
     def __init__(
         self, name: str, config: LeaseConfig, now_ms: float, restored: Mapping[str, GrantRecord]
     ) -> None:
         self.name, self.config = name, config
-        self.silent_until_ms = now_ms + config.promise_ms
+        self.no_new_promise_until_ms = now_ms + config.promise_ms
         self.promises = {
             task: Promise(grant.term, grant.holder, grant.term) for task, grant in restored.items()
         }
@@ -75,8 +76,8 @@
         """Grants or denies a term."""
         promise = self.promises.setdefault(request.task, Promise())
         if request.term == promise.term and request.candidate == promise.holder:
-            # A renewal, or a holder whose promise lapsed (or was lost at a start) while no higher term was
-            # granted here: the same grant again, which no other promise can conflict with.
+            # A renewal, or a request of a holder whose promise ended (or was lost by a restart) while this
+            # voter granted no higher term: the same grant again, which conflicts with no other promise.
             promise.expires_at_ms = now_ms + self.config.promise_ms
             return self._grant(request, promise)
         remaining_ms = self._remaining_ms(promise, request.candidate, now_ms)
@@ -92,7 +93,7 @@
         return [Send(request.candidate, denial), event]
 
     def handle_pre_vote(self, request: PreVoteRequest, now_ms: float) -> list[Output]:
-        """Tells how a vote request would be answered; promises nothing."""
+        """Responds with whether a vote request would be granted; promises nothing."""
         promise = self.promises.get(request.task, Promise())
         remaining_ms = self._remaining_ms(promise, request.candidate, now_ms)
         response = PreVoteResponse(
@@ -105,14 +106,14 @@
         promise = self.promises.get(release.task)
         if promise is None or (promise.term, promise.holder) != (release.term, release.holder):
             return []
-        promise.expires_at_ms = now_ms  # the holder stopped before it sent this
+        promise.expires_at_ms = now_ms  # the holder stopped before it sent the release
         if release.successor:
             promise.successor = release.successor
             promise.reserved_until_ms = now_ms + self.config.promise_ms
         return [LeaseEvent(EventKind.RELEASED, release.task, release.term, release.holder)]
 
     def mark_durable(self, task: str, row: bytes) -> None:
-        """Notes that a row which this voter asked to save is durable."""
+        """Notes that a row which this voter saved is durable."""
         promise = self.promises[task]
         promise.durable_term = max(promise.durable_term, decode_grant(row).term)
 
@@ -125,12 +126,15 @@
 
     def _remaining_ms(self, promise: Promise, candidate: str, now_ms: float) -> float:
         """Returns how long until a higher term may be granted to this candidate, in ms."""
-        # The one promise that may run is to its holder: a higher term for that holder conflicts with nobody.
+        # Only the holder may have a valid promise, which a higher term for the same holder cannot conflict with.
         if candidate == promise.holder:
             return 0.0
         reserved_until_ms = promise.reserved_until_ms if candidate != promise.successor else NEVER_MS
         return max(
-            promise.expires_at_ms - now_ms, self.silent_until_ms - now_ms, reserved_until_ms - now_ms, 0.0
+            promise.expires_at_ms - now_ms,
+            self.no_new_promise_until_ms - now_ms,
+            reserved_until_ms - now_ms,
+            0.0,
         )
 
     def _grant(self, request: VoteRequest, promise: Promise, *events: Output) -> list[Output]:
