--- a/gladewalk/leases/fenced_operations.py
+++ b/gladewalk/leases/fenced_operations.py
@@ -1,9 +1,9 @@
-"""Queue of fenced operations: each is sent with the token of the moment until its resource accepts it.
+"""Queue of fenced operations: each is sent with the current token until its resource accepts it.
 
-A resource that does not answer is tried again with an exponential backoff. What a resource rejects was sent
-under a token that a later holder has exceeded: the candidate is notified and gives the lease up. An operation
-with number 0 announces the token alone; every resource gets one now and then, which raises its fence against
-any earlier holder. No I/O.
+An operation without a response is sent again after an exponential backoff. A resource rejects an operation if
+it has accepted the higher token of a later holder; the candidate is then notified and ends its lease. An
+operation with number 0 only announces the token: every resource is sent one periodically, so that it rejects
+the operations of any earlier holder. No I/O.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         self._last_number = 0
 
     def is_pending(self, task: str, operation_id: str) -> bool:
-        """Whether some resource has not accepted this operation."""
+        """Returns whether some resource has not accepted this operation yet."""
         return (task, operation_id) in self._pending_resources
 
     def submit(self, task: str, operation_id: str, body: bytes, now_ms: float) -> bool:
@@ -57,7 +57,7 @@
         return True
 
     def take_due(self, task: str, token: int, now_ms: float, wall_ms: float) -> Iterator[Output]:
-        """Yields what is to be sent now under a token that is held now, and schedules its retry."""
+        """Yields the operations that are due, under the token held now, and schedules their retries."""
         for number, operation in self.pending.items():
             if operation.task != task or now_ms < operation.due_at_ms:
                 continue
@@ -69,7 +69,7 @@
             yield Send(operation.resource, message)
 
     def announce_token(self, task: str, token: int, wall_ms: float) -> Iterator[Output]:
-        """Yields an operation that does nothing but raise the fence, for every resource of the task."""
+        """Yields an operation that only announces the token, for every resource of the task."""
         for resource in self.resources[task]:
             yield Send(resource, FencedOperation(task, token, self.director, wall_ms))
 
@@ -79,7 +79,7 @@
         return min(due_ms, default=float("inf"))
 
     def handle_acceptance(self, response: OperationResponse) -> PendingOperation | None:
-        """Returns the operation that a resource has now accepted; None if it is unknown or was rejected."""
+        """Returns the operation that a resource accepted and removes it; None if unknown or rejected."""
         operation = self.pending.get(response.number)
         if operation is None or operation.task != response.task or not response.is_accepted:
             return None
@@ -97,8 +97,8 @@
 
     def _remove(self, number: int) -> PendingOperation:
         operation = self.pending.pop(number)
-        slot = (operation.task, operation.operation_id)
-        self._pending_resources[slot] -= 1
-        if not self._pending_resources[slot]:
-            del self._pending_resources[slot]
+        key = (operation.task, operation.operation_id)
+        self._pending_resources[key] -= 1
+        if not self._pending_resources[key]:
+            del self._pending_resources[key]
         return operation
--- a/gladewalk/leases/fleet_report.py
+++ b/gladewalk/leases/fleet_report.py
@@ -1,8 +1,9 @@
-"""The fleet's report: every director's counts, put together by the holder of the report lease.
+"""The fleet's report: every director's counts, collected by the holder of the report lease.
 
-Each director sends all others its counts periodically. A director that was not heard for `stale_after_ms` is
-listed as missing, and its last counts stay in the totals. A director that restarts counts from 0 under a
-higher incarnation; the counts of its earlier incarnations are added as far as they were received. No I/O.
+Each director periodically sends its counts to all others. A director whose counts have not been received for
+`stale_after_ms` is listed as missing, and its last counts stay in the totals. After a restart a director
+counts from 0 under a higher incarnation; the counts of its earlier incarnations are added as far as they were
+received. No I/O.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 
 from .messages import MAX_BODY_BYTES, DirectorMetrics
 
-MAX_ROW_BYTES = 120  # of one director; the number of rows in an operation follows from it
-MAX_HEADER_BYTES = 400
+MAX_ROW_BYTES = 120  # of one director's row; limits the number of rows in a page
+MAX_HEADER_BYTES = 400  # of the first page's header, reserved in every page
 MAX_NAMED_MISSING = 8
 
 
@@ -24,7 +25,7 @@
     """The latest metrics of one director."""
 
     metrics: DirectorMetrics
-    received_at_ms: float  # on this director's clock
+    received_at_ms: float  # on the clock of the director that keeps this record
     earlier_counts: Counter[str] = field(default_factory=Counter)  # of earlier incarnations
 
 
@@ -37,7 +38,7 @@
 
 
 class FleetReport:
-    """What one director knows of all `directors`; `read_counts` returns its own counts."""
+    """The counts of all `directors` as one of them received them; `read_counts` returns its own."""
 
     def __init__(
         self,
@@ -54,13 +55,13 @@
         self._report_count = 0
 
     def record_own(self, now_ms: float, wall_ms: float) -> DirectorMetrics:
-        """Records this director's counts and returns them for the others."""
+        """Records this director's counts and returns them, to be sent to the others."""
         metrics = DirectorMetrics(self.name, self.incarnation, wall_ms, self.read_counts())
         self.record(metrics, now_ms)
         return metrics
 
     def record(self, metrics: DirectorMetrics, now_ms: float) -> None:
-        """Records a director's counts; a datagram that arrives late does not set a count back."""
+        """Records a director's counts; ignores those of a delayed datagram that are older than the last."""
         if metrics.director not in self.directors:
             return
         record = self.records.get(metrics.director)
@@ -83,13 +84,13 @@
         return dict(sorted(total.items()))
 
     def missing(self, now_ms: float) -> list[str]:
-        """Returns the directors that were not heard lately."""
-        heard = {
+        """Returns the directors whose counts have not been received for `stale_after_ms`."""
+        recent = {
             name
             for name, record in self.records.items()
             if now_ms - record.received_at_ms <= self.stale_after_ms
         }
-        return [name for name in self.directors if name not in heard]
+        return [name for name in self.directors if name not in recent]
 
     def build(self, now_ms: float, wall_ms: float) -> list[ReportPage]:
         """Returns the report in pages, each small enough for one fenced operation."""
--- a/gladewalk/leases/holder_tasks.py
+++ b/gladewalk/leases/holder_tasks.py
@@ -1,10 +1,11 @@
-"""What a director does while it holds leases: forwards purges, writes the fleet report, announces tokens.
+"""The tasks that a director performs under its leases: purges, the fleet report, token announcements.
 
     purge    an operator's requests, forwarded to every hub cache (`purge_requests.py`)
-    report   the fleet's metrics, written to the collector (`fleet_report.py`)
-    others   the token alone, for a worker that waits for it at its resource
+    report   the fleet's metrics, sent to the collector (`fleet_report.py`)
+    others   only the token, announced to a worker that waits for it at its resource
 
-`tick` reads each task's token just before what is sent under it, and everything goes with that token. No I/O.
+`tick` reads each task's token immediately before it sends operations, and all of them carry that token. No
+I/O.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class LeaseHolderTasks:
-    """One director's tasks; `purges` and `report` are None where that task is off."""
+    """One director's tasks; `purges` or `report` is None if that task is not configured."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         self.candidate, self.operations, self.purges, self.report = candidate, operations, purges, report
         self.announce_interval_ms, self.report_interval_ms = announce_interval_ms, report_interval_ms
         self.next_announcement_ms = self.next_report_ms = now_ms
-        self.held_tokens: dict[str, int] = {}  # by task, at the last tick
+        self.held_tokens: dict[str, int] = {}  # by task, as of the last tick
 
     def handle(self, message: Message, now_ms: float) -> list[Output]:
         """Handles any message that is not an election message."""
@@ -60,7 +61,7 @@
                 return [] if self.purges is None else self._handle_purge_message(self.purges, message, now_ms)
 
     def tick(self, now_ms: float, wall_ms: float) -> list[Output]:
-        """Does what is due for every task, under the token that is held at this moment."""
+        """Performs the work that is due for every task, under the token held now."""
         outputs: list[Output] = [] if self.purges is None else self.purges.tick(now_ms)
         is_announcing = now_ms >= self.next_announcement_ms
         if is_announcing:
@@ -68,25 +69,25 @@
         is_reporting = self.report is not None and now_ms >= self.next_report_ms
         if is_reporting:
             self.next_report_ms = now_ms + self.report_interval_ms
-            outputs += self._share_metrics(now_ms, wall_ms)
+            outputs += self._send_metrics(now_ms, wall_ms)
         for task in self.candidate.leases:
             token = self.candidate.token(task, now_ms)
             if token is None:
-                self._note_lost(task)
+                self._handle_lost_lease(task)
                 continue
             is_new = self.held_tokens.get(task) != token
             self.held_tokens[task] = token
-            if is_announcing or is_new:  # a new holder raises every fence before it does anything
+            if is_announcing or is_new:  # a new holder first raises every fence
                 outputs += self.operations.announce_token(task, token, wall_ms)
             if task == PURGE_TASK:
                 outputs += self._forward_purges(now_ms)
             if task == REPORT_TASK and is_reporting:
-                self._write_report(now_ms, wall_ms)
+                self._submit_report(now_ms, wall_ms)
             outputs += self.operations.take_due(task, token, now_ms, wall_ms)
         return outputs
 
     def next_due_ms(self, now_ms: float) -> float:
-        """Returns when `tick` has something to do at the latest; not before `now_ms`."""
+        """Returns the latest time at which `tick` has to be called next; not before `now_ms`."""
         due_ms = self.next_announcement_ms
         if self.report is not None:
             due_ms = min(due_ms, self.next_report_ms)
@@ -99,7 +100,7 @@
     def request_purge(self, target: str, now_ms: float, wall_ms: float) -> tuple[str, list[Output]]:
         """Accepts an operator's purge and returns its id; raises `PurgeRejectedError` with the reason."""
         if self.purges is None:
-            raise PurgeRejectedError("no hubs are set (leases.hubs): a purge has nowhere to go")
+            raise PurgeRejectedError("purges need hub caches, and none are configured (leases.hubs)")
         request, outputs = self.purges.create(target, now_ms, wall_ms)
         return request.request_id, outputs
 
@@ -138,7 +139,7 @@
             return []
         return self.purges.handle_forwarded(operation.operation_id, operation.resource, response.token)
 
-    def _share_metrics(self, now_ms: float, wall_ms: float) -> list[Output]:
+    def _send_metrics(self, now_ms: float, wall_ms: float) -> list[Output]:
         if self.report is None:
             return []
         own = self.report.record_own(now_ms, wall_ms)
@@ -152,14 +153,14 @@
                 self.operations.submit(PURGE_TASK, request.request_id, request.target.encode(), now_ms)
         return self.purges.sync(now_ms)
 
-    def _write_report(self, now_ms: float, wall_ms: float) -> None:
+    def _submit_report(self, now_ms: float, wall_ms: float) -> None:
         if self.report is None:
             return
-        self.operations.cancel(REPORT_TASK)  # an older report that was not accepted: this one has it all
+        self.operations.cancel(REPORT_TASK)  # an older report that was not accepted is superseded
         for page in self.report.build(now_ms, wall_ms):
             self.operations.submit(REPORT_TASK, page.operation_id, page.body, now_ms)
 
-    def _note_lost(self, task: str) -> None:
+    def _handle_lost_lease(self, task: str) -> None:
         if self.held_tokens.pop(task, None) is None:
             return
         self.operations.cancel(task)
--- a/gladewalk/leases/purge_requests.py
+++ b/gladewalk/leases/purge_requests.py
@@ -1,10 +1,11 @@
 """Replicated purge requests: each reaches every hub cache, whichever director holds the purge lease.
 
-A request is sent to every director and made durable by each; it is acknowledged to the operator once a
-majority has it. The lease holder synchronises with the others and forwards what it learns: a majority that
-answers shares a director with the majority that replicated, so no acknowledged request is missed, whichever
-directors have failed. Hub caches get a request at least once and recognise it by its id. Once all of them
-have accepted it, it is completed: every director is notified and deletes it. No I/O.
+A request is sent to every director and stored durably by each; it is acknowledged to the operator once a
+majority has stored it. The lease holder synchronises with the other directors and forwards the requests that
+it receives. Its synchronisation needs responses from a majority, and every majority shares a director with
+the majority that stored a request, so no acknowledged request is missed, whichever directors have failed. Hub
+caches receive a request at least once and recognise a repetition by its id. A request that all of them have
+accepted is completed: every director is notified and deletes it. No I/O.
 """
 
 from __future__ import annotations
@@ -29,42 +30,42 @@
 from .outputs import PURGE_SPACE, EventKind, LeaseEvent, Output, Save, Send, encode_row
 from .status import PurgeState, PurgeStatus
 
-INITIAL_BACKOFF_MS = 200.0  # until a director that has not replicated a request is sent it again
+INITIAL_BACKOFF_MS = 200.0  # until a request is sent again to directors that have not replicated it
 MAX_BACKOFF_MS = 10_000.0
-SYNC_TIMEOUT_MS = 250.0  # a synchronisation without a majority by then begins anew
-SYNC_INTERVAL_MS = 2_000.0  # between synchronisations of a holder, for requests whose replication was lost
-SYNC_PAGE_SIZE = 4  # requests in a datagram
-MAX_FORWARDED_REQUESTS = 64  # on their way to the hub caches at a time
+SYNC_TIMEOUT_MS = 250.0  # a synchronisation without a majority by then is restarted
+SYNC_INTERVAL_MS = 2_000.0  # of a holder; finds requests whose replication message was lost
+SYNC_PAGE_SIZE = 4  # requests that fit into a datagram
+MAX_FORWARDED_REQUESTS = 64  # being forwarded to the hub caches at a time
 MAX_OPEN_REQUESTS = 4_096  # further ones are rejected
-MAX_REMEMBERED_COMPLETIONS = 8_192  # late messages of a completed request do not open it again
+MAX_REMEMBERED_COMPLETIONS = 8_192  # so that a delayed message does not reopen a completed request
 
 
 class PurgeRejectedError(GladewalkError, ValueError):
-    """A purge that cannot be accepted; its text is meant for the operator."""
+    """A purge request cannot be accepted; the text is shown to the operator."""
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that is not completed, and which directors and hub caches are known to have it."""
+    """A request that is not completed, with the directors and hub caches that are known to have it."""
 
     request: PurgeRequest
     replicas: set[str] = field(default_factory=set)
-    due_at_ms: float = float("inf")  # when it is sent again, at the director that received it
+    due_at_ms: float = float("inf")  # when the director that received it sends it again
     backoff_ms: float = INITIAL_BACKOFF_MS
-    accepted_by: set[str] = field(default_factory=set)  # hub caches, from this holder
+    accepted_by: set[str] = field(default_factory=set)  # hub caches that accepted it from this holder
 
 
 @dataclass(slots=True)
 class SyncRound:
-    """A holder's synchronisation under way."""
+    """A holder's synchronisation in progress."""
 
     number: int
     due_at_ms: float
-    complete_replicas: set[str] = field(default_factory=set)  # that have sent their last page
+    complete_replicas: set[str] = field(default_factory=set)  # that sent their last page
 
 
 class PurgeRequests:
-    """One director's requests; `directors` are all by name, this one among them, `hubs` the hub caches."""
+    """One director's purge requests; `directors` names them all, with this one, `hubs` the hub caches."""
 
     def __init__(
         self,
@@ -79,7 +80,7 @@
         self.others = tuple(director for director in directors if director != name)
         self.needed_replicas = majority(len(directors))
         self.open: dict[str, OpenRequest] = {}
-        self.completed: OrderedDict[str, int] = OrderedDict()  # id -> token it was completed under
+        self.completed: OrderedDict[str, int] = OrderedDict()  # id -> token under which it was completed
         self.sync_round: SyncRound | None = None
         self.synced_at_ms = float("-inf")
         self._last_sync_number = 0
@@ -90,11 +91,11 @@
         for row in rows.values():
             try:
                 request = decoder.decode(row)
-            except msgspec.MsgspecError:  # not written by this software: nothing to forward
+            except msgspec.MsgspecError:  # written by other software: there is nothing to forward
                 continue
             self.open[request.request_id] = OpenRequest(request, {self.name})
 
-    # At the director that an operator asks.
+    # At the director that receives the operator's request.
 
     def create(self, target: str, now_ms: float, wall_ms: float) -> tuple[PurgeRequest, list[Output]]:
         """Accepts an operator's purge; raises `PurgeRejectedError` if it cannot be accepted."""
@@ -102,7 +103,7 @@
             raise PurgeRejectedError(f"a purge names 1 to {MAX_TARGET_CHARACTERS} printable characters")
         if len(self.open) >= MAX_OPEN_REQUESTS:
             raise PurgeRejectedError(
-                f"{MAX_OPEN_REQUESTS} orders are open already: the hubs do not take them"
+                f"{MAX_OPEN_REQUESTS} purge requests are open: the hub caches have not accepted them"
             )
         request = PurgeRequest(f"{self.random.getrandbits(64):016x}", target, self.name, wall_ms)
         entry = self.open[request.request_id] = OpenRequest(request, due_at_ms=now_ms)
@@ -124,7 +125,7 @@
     # At every director.
 
     def handle_request(self, request: PurgeRequest) -> list[Output]:
-        """Replicates a request; tells its sender if it is replicated or completed already."""
+        """Replicates a request; notifies the director that received it, also of an earlier completion."""
         request_id, sender = request.request_id, request.received_by
         if request_id in self.completed:
             return [Send(sender, Completed(request_id, self.completed[request_id]))]
@@ -139,12 +140,12 @@
         return [self._save(entry, replicated)]
 
     def mark_durable(self, request_id: str) -> None:
-        """Notes that a row which this director asked to save is durable."""
+        """Notes that this director's row of the request is durable."""
         if request_id in self.open:
             self.open[request_id].replicas.add(self.name)
 
     def handle_replicated(self, message: Replicated) -> None:
-        """Notes that another director has the request."""
+        """Notes that another director has replicated the request."""
         if message.request_id in self.open and message.replica in self.directors:
             self.open[message.request_id].replicas.add(message.replica)
 
@@ -161,7 +162,7 @@
         return [Save(PURGE_SPACE, message.request_id, None), event]
 
     def handle_sync_request(self, message: SyncRequest) -> list[Output]:
-        """Answers a holder with one page of the requests that are durable here."""
+        """Sends a holder one page of the requests that are durable here."""
         ids = sorted(
             request_id
             for request_id, entry in self.open.items()
@@ -174,14 +175,14 @@
     # At the holder.
 
     def handle_sync_response(self, response: SyncResponse, now_ms: float) -> list[Output]:
-        """Replicates the requests of a page and asks for the next one, if there is any."""
+        """Replicates the requests of a page and requests the next page, if there is one."""
         outputs: list[Output] = []
         for request in response.requests:
             request_id = request.request_id
             if request_id in self.completed:  # the replica missed the completion
                 outputs.append(Send(response.replica, Completed(request_id, self.completed[request_id])))
             else:
-                # One that is replicated here already needs no further answer to its sender.
+                # The director that received it is not notified again if it is replicated here already.
                 outputs += [out for out in self.handle_request(request) if not isinstance(out, Send)]
                 self.handle_replicated(Replicated(request_id, response.replica))
         if self.sync_round is None or response.round_number != self.sync_round.number:
@@ -197,13 +198,13 @@
         return outputs
 
     def sync(self, now_ms: float) -> list[Output]:
-        """While the lease is held here: begins a synchronisation if one is due, at once after it was won."""
+        """Begins a synchronisation if one is due, as it is when the lease was just won; for its holder."""
         if self.sync_round is None and now_ms < self.synced_at_ms + SYNC_INTERVAL_MS:
             return []
         if self.sync_round is not None and now_ms < self.sync_round.due_at_ms:
             return []
         self._last_sync_number += 1
-        # Counted anew: a response counts for the round that asked for it.
+        # The count starts anew: a response counts only for the round that requested it.
         self.sync_round = SyncRound(self._last_sync_number, now_ms + SYNC_TIMEOUT_MS, {self.name})
         return [Send(director, SyncRequest(self.name, self._last_sync_number)) for director in self.others]
 
@@ -215,7 +216,7 @@
         )
 
     def handle_forwarded(self, request_id: str, hub: str, token: int) -> list[Output]:
-        """Notes that a hub cache has accepted a request; with the last of them it is completed."""
+        """Notes that a hub cache has accepted a request, which is completed once all of them have."""
         entry = self.open.get(request_id)
         if entry is None:
             return []
@@ -226,20 +227,20 @@
         return [*self.handle_completed(completed), *(Send(director, completed) for director in self.others)]
 
     def reset_forwarding(self) -> None:
-        """Forgets what hub caches accepted from this holder, which has lost the lease."""
+        """Forgets which requests hub caches accepted, since this director no longer holds the lease."""
         self.sync_round, self.synced_at_ms = None, float("-inf")
         for entry in self.open.values():
             entry.accepted_by.clear()
 
-    # In time.
+    # Timers.
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Sends requests that were received here again to directors that have not replicated them."""
+        """Sends requests that an operator made here to the directors that have not replicated them."""
         outputs: list[Output] = []
         for entry in self.open.values():
             if now_ms < entry.due_at_ms:
                 continue
-            if self.name not in entry.replicas:  # its row failed or is under way: saved again
+            if self.name not in entry.replicas:  # the row failed or is not durable yet: saved again
                 outputs.append(self._save(entry))
             missing = [director for director in self.others if director not in entry.replicas]
             outputs += [Send(director, entry.request) for director in missing]
@@ -248,7 +249,7 @@
         return outputs
 
     def next_due_ms(self) -> float:
-        """Returns when `tick` has something to do, or infinity."""
+        """Returns when `tick` has to be called next, or infinity."""
         return min((entry.due_at_ms for entry in self.open.values()), default=float("inf"))
 
     def _save(self, entry: OpenRequest, *on_durable: Output) -> Save:
--- a/gladewalk/leases/start.py
+++ b/gladewalk/leases/start.py
@@ -25,12 +25,12 @@
 from .voter import Voter, decode_grants
 
 REPORTED_OUTCOMES = {"served": Outcome.COMPLETED, "refused": Outcome.REJECTED, "failed": Outcome.FAILED}
-RENEWAL_INTERVAL_LEASES = 0.3  # times of an election, in leases
+RENEWAL_INTERVAL_LEASES = 0.3  # this and the next two: durations as multiples of the lease
 ROUND_TIMEOUT_LEASES = 0.25
 MAX_RETRY_DELAY_LEASES = 0.2
-STALE_REPORTS = 5.0  # report intervals until a silent director is listed as missing
+STALE_REPORT_INTERVALS = 5.0  # report intervals without a director's metrics until it is listed as missing
 MAX_NAME_CHARACTERS = 64
-RESOURCE_PREFIX = "@"  # begins the name of a fenced resource, and of no director
+RESOURCE_PREFIX = "@"  # of the names of fenced resources; no director's name begins with it
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,8 +57,8 @@
         return addresses
 
 
-class _Reader:
-    """Parses the addresses of the table; raises `ConfigError` with the file and the key that is wrong."""
+class _AddressReader:
+    """Parses the addresses of the table; raises `ConfigError` with the file and the invalid key."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -77,10 +77,10 @@
 
 
 def read_lease_settings(options: Options, name: str) -> LeaseSettings:
-    """Returns the checked `[leases]` table of director `name`; raises `ConfigError` with the unusable key."""
+    """Returns the checked `[leases]` table of director `name`; raises `ConfigError` with the invalid key."""
     table = options.leases
     assert table is not None
-    reader = _Reader(options.path)
+    reader = _AddressReader(options.path)
     config = LeaseConfig(
         table.lease_ms,
         table.max_clock_drift,
@@ -110,7 +110,7 @@
     return LeaseSettings(config, listen, directors, resources)
 
 
-def _check_names(reader: _Reader, name: str, directors: Mapping[str, Address]) -> None:
+def _check_names(reader: _AddressReader, name: str, directors: Mapping[str, Address]) -> None:
     if name not in directors:
         raise reader.error("peers", f"this director ({name}) is not among them")
     for director in directors:
@@ -126,7 +126,7 @@
 
 
 def read_request_counts(counters: Mapping[str, int]) -> dict[str, int]:
-    """Returns one director's final answers by outcome, over all request classes, and its attempts."""
+    """Returns a director's counts of final answers by outcome, over all classes, and of attempts."""
     counts = dict.fromkeys(REPORTED_OUTCOMES, 0)
     for name, count in counters.items():
         for outcome, end in REPORTED_OUTCOMES.items():
@@ -145,7 +145,7 @@
     deadlines: Deadlines,
     counters: Counters,
 ) -> tuple[LeaseService, Address]:
-    """Builds what `[leases]` asks for; `LeaseService.listen` at the returned address starts it.
+    """Builds the service that `[leases]` configures; `LeaseService.listen` at the returned address starts it.
 
     Raises `ConfigError` for a table or a key file that cannot be used.
     """
@@ -167,8 +167,8 @@
         report = FleetReport(
             name,
             directors,
-            incarnation=int(instants.current_instant().unix_ms),  # a later start has the higher number
-            stale_after_ms=STALE_REPORTS * table.report_interval_ms,
+            incarnation=int(instants.current_instant().unix_ms),  # higher at every later start
+            stale_after_ms=STALE_REPORT_INTERVALS * table.report_interval_ms,
             read_counts=lambda: read_request_counts(counters),
         )
     operations = FencedOperationQueue(name, resources)
--- a/gladewalk/leases/transport.py
+++ b/gladewalk/leases/transport.py
@@ -1,9 +1,9 @@
-"""Drives the lease state machines on a UDP socket, timers and the embedded store; decides nothing itself.
+"""Connects the lease state machines to a UDP socket, timers and the embedded store; makes no decisions.
 
-All messages are sealed with the leases' key ring, those to fenced resources too. The lease clock is monotonic
-(`time.monotonic`) times a rate, with which rehearsals play a clock that runs fast or slow; the loop's
-deadlines are in Unix ms, so each wait is converted. What follows a save is carried out once the store says
-that the row is durable; if the disk rejects it, never.
+All messages, including those to fenced resources, are signed with the leases' key ring. The lease clock is
+`time.monotonic` times a rate, by which rehearsals simulate a clock that runs fast or slow; the event loop's
+deadlines are in Unix ms, so each wait is converted. The outputs that follow a save are carried out once the
+store reports the row as durable, and never if the disk rejects the row.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 from .voter import Voter
 
 Address = tuple[str, int]
-REFUSAL_LOG_INTERVAL_MS = 10_000.0  # a candidate that is refused all along asks every quarter of a lease
+REFUSAL_LOG_INTERVAL_MS = 10_000.0  # a candidate that is always denied sends one every quarter of a lease
 NONCE_BITS = 64
 log = structlog.get_logger("gladewalk.leases")
 
 
 class LeaseClock:
-    """Monotonic clock in ms that runs at `rate` to true time."""
+    """Monotonic clock in ms that runs at `rate` relative to true time."""
 
     def __init__(self, rate: float = 1.0) -> None:
         self.rate, self._started_at_seconds = rate, time.monotonic()
@@ -48,7 +48,7 @@
 
 
 class RowWriter(Protocol):
-    """The part of the embedded store that leases need; each future tells whether the row is durable."""
+    """The part of the embedded store that leases need; each future has whether the row is durable."""
 
     def put(self, space: str, key: str, value: bytes) -> asyncio.Future[bool]:
         """Writes a row."""
@@ -93,7 +93,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Handles one datagram; whatever is not a sealed lease message is counted and dropped."""
+        """Handles one datagram; counts and drops any that is not an authentic lease message."""
         verified = self.authenticator.verify(data, self.steady_clock())
         if isinstance(verified, DropReason):
             return self.counters.add(f"leases.dropped.{verified.value}")
@@ -108,11 +108,11 @@
             self._carry_out(self.holder_tasks.handle(message, now_ms))
 
     def error_received(self, error: Exception) -> None:
-        """Counts an address that ICMP reports as unreachable; whatever was sent is retried anyway."""
+        """Counts an address that ICMP reports as unreachable; lost messages are sent again anyway."""
         self.counters.add("leases.unreachable")
 
     def hand_on(self, task: str, successor: str = "") -> int:
-        """Steps down from `task` now, for `successor` if named; returns the term held, 0 if none was."""
+        """Releases the lease of `task`, for `successor` if named; returns its term, 0 if it was not held."""
         if task not in self.candidate.leases:
             return 0
         term = self.candidate.leases[task].term
@@ -128,7 +128,7 @@
         return request_id
 
     def stop(self) -> None:
-        """Hands on every held lease at once and closes the socket."""
+        """Releases every held lease and closes the socket."""
         for task in list(self.candidate.leases):
             self.hand_on(task)
         if self.transport is not None:
@@ -182,11 +182,11 @@
     def _record_event(self, event: LeaseEvent) -> None:
         self.counters.add(event.kind.counter)
         if event.kind is EventKind.REFUSED:
-            now_ms, slot = self.clock(), (event.subject, event.director)
-            logged_at_ms = self._refusals_logged_at_ms.get(slot, float("-inf"))
+            now_ms, key = self.clock(), (event.subject, event.director)
+            logged_at_ms = self._refusals_logged_at_ms.get(key, float("-inf"))
             if now_ms < logged_at_ms + REFUSAL_LOG_INTERVAL_MS:
                 return
-            self._refusals_logged_at_ms[slot] = now_ms
+            self._refusals_logged_at_ms[key] = now_ms
         log.info(event.kind.value, duty=event.subject, term=event.term, who=event.director)
 
     def _send(self, recipient: str, payload: bytes) -> None:
@@ -194,8 +194,8 @@
         if address is None or self.transport is None or self.transport.is_closing():
             return
         nonce = self.random.getrandbits(NONCE_BITS)
-        sealed = self.authenticator.sign(payload, self.steady_clock(), nonce, MAX_DATAGRAM_BYTES)
-        self.transport.sendto(sealed, address)
+        datagram = self.authenticator.sign(payload, self.steady_clock(), nonce, MAX_DATAGRAM_BYTES)
+        self.transport.sendto(datagram, address)
 
     def _schedule_tick(self) -> None:
         self._cancel_timer()
@@ -213,7 +213,7 @@
     def _tick(self) -> None:
         self._timer = None
         now_ms = self.clock()
-        # The holder's tasks read each token after the candidate has expired what is over.
+        # The candidate's tick expires leases before the holder's tasks read their tokens.
         outputs = self.candidate.tick(now_ms)
         outputs += self.holder_tasks.tick(now_ms, self.instants.current_instant().unix_ms)
         self._carry_out(outputs)
--- a/gladewalk/leases/view.py
+++ b/gladewalk/leases/view.py
@@ -1,4 +1,4 @@
-"""Leases at the control socket: who holds what, a lease handed on, a purge and its state."""
+"""Control queries of leases: the status of leases, a hand-on, a purge and its status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def add_views(control: ControlServer, leases: LeaseService) -> None:
-    """Adds the queries of leases and purges; each answers `UnsupportedQueryError` if it can't be done."""
+    """Adds the queries of leases and purges; each raises `UnsupportedQueryError` if it can't be done."""
 
     def hand_on(arguments: Arguments) -> HandOnResult:
         return _hand_on(leases, str(arguments.get("duty", "")), str(arguments.get("to", "")))
@@ -28,7 +28,7 @@
     def purge_status(arguments: Arguments) -> PurgeStatus:
         purges = leases.holder_tasks.purges
         if purges is None:
-            raise UnsupportedQueryError("no hubs are set (leases.hubs)")
+            raise UnsupportedQueryError("no hub caches are configured (leases.hubs)")
         return purges.status(str(arguments.get("id", "")))
 
     control.handlers[Query.LEASES] = lambda arguments: leases.status()
@@ -46,6 +46,6 @@
     term = leases.hand_on(task, successor)
     if not term:
         promise = leases.voter.promises.get(task)
-        last = f"{promise.holder} had it last, as far as is known" if promise else "nobody is known to"
+        last = f"its last known holder is {promise.holder}" if promise else "no holder is known"
         raise UnsupportedQueryError(f"{task} is not held by {candidate.name}; {last}")
     return HandOnResult(task, term, successor)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -248,7 +248,7 @@
 def test_the_longest_gap_without_a_holder_leaves_out_what_is_excused() -> None:
     records = [OperationRecord("d", 1, "a", at_ms, at_ms, True) for at_ms in (0.0, 100.0, 2_100.0)]
     assert check_history(records, end_ms=2_200.0).max_gap_ms == 2_000.0
-    assert check_history(records, end_ms=2_200.0, excused=[(500.0, 1_500.0)]).max_gap_ms == 1_000.0
+    assert check_history(records, end_ms=2_200.0, excluded_spans=[(500.0, 1_500.0)]).max_gap_ms == 1_000.0
 
 
 def story(
