--- a/gladewalk/leases/transport.py
+++ b/gladewalk/leases/transport.py
@@ -182,11 +182,11 @@
     def _record_event(self, event: LeaseEvent) -> None:
         self.counters.add(event.kind.counter)
         if event.kind is EventKind.REFUSED:
-            now_ms, key = self.clock(), (event.subject, event.director)
-            logged_at_ms = self._refusals_logged_at_ms.get(key, float("-inf"))
+            now_ms, refusal = self.clock(), (event.subject, event.director)
+            logged_at_ms = self._refusals_logged_at_ms.get(refusal, float("-inf"))
             if now_ms < logged_at_ms + REFUSAL_LOG_INTERVAL_MS:
                 return
-            self._refusals_logged_at_ms[key] = now_ms
+            self._refusals_logged_at_ms[refusal] = now_ms
         log.info(event.kind.value, duty=event.subject, term=event.term, who=event.director)
 
     def _send(self, recipient: str, payload: bytes) -> None:
--- a/gladewalk/leases/view.py
+++ b/gladewalk/leases/view.py
@@ -46,6 +46,6 @@
     term = leases.hand_on(task, successor)
     if not term:
         promise = leases.voter.promises.get(task)
-        last = f"its last known holder is {promise.holder}" if promise else "no holder is known"
+        last = f"{promise.holder} is its last known holder" if promise else "no holder is known"
         raise UnsupportedQueryError(f"{task} is not held by {candidate.name}; {last}")
     return HandOnResult(task, term, successor)
--- a/gladewalk/leases/voter.py
+++ b/gladewalk/leases/voter.py
@@ -126,7 +126,7 @@
 
     def _remaining_ms(self, promise: Promise, candidate: str, now_ms: float) -> float:
         """Returns how long until a higher term may be granted to this candidate, in ms."""
-        # Only the holder may have a valid promise, which a higher term for the same holder cannot conflict with.
+        # Only the holder may have a valid promise, and a higher term for the same holder conflicts with none.
         if candidate == promise.holder:
             return 0.0
         reserved_until_ms = promise.reserved_until_ms if candidate != promise.successor else NEVER_MS
