--- a/tests/fleet_test_case.py
+++ b/tests/fleet_test_case.py
@@ -1,4 +1,4 @@
-"""Fleets of directors as processes on loopback: started, queried and checked by tests."""
+"""Test case for fleets of directors that run as processes on loopback."""
 
 import asyncio
 import tempfile
@@ -14,7 +14,7 @@
 from gladewalk.rehearsal.director_harness import config_for
 from gladewalk.rehearsal.scripted_servers import StandInServer
 
-SETTLE_S = 8.0  # until each lease is held: a new director denies votes for a promise, then votes may split
+SETTLE_S = 8.0  # time to elect holders: new directors deny votes for a promise time, and votes may split
 POLL_INTERVAL_S = 0.05
 
 
@@ -23,7 +23,7 @@
 
 
 async def wait_until_true(is_true: Callable[[], bool], within_s: float = SETTLE_S) -> bool:
-    """Whether a condition comes to hold in time."""
+    """Waits for a condition; returns whether it became true in time."""
     end_s = time.monotonic() + within_s
     while not is_true():
         if time.monotonic() > end_s:
@@ -33,7 +33,7 @@
 
 
 class FleetTestCase(unittest.IsolatedAsyncioTestCase):
-    """A coordinator, a folder and, once started, a fleet; all end with the test."""
+    """Starts a coordinator, a folder and, on request, a fleet, and removes them after the test."""
 
     async def asyncSetUp(self) -> None:
         self.coordinator = await Coordinator().start()
@@ -76,11 +76,14 @@
         return fleet
 
     async def wait_for_holder(self, since_ms: float, within_s: float = SETTLE_S) -> str:
-        """Waits for an operation under the purge lease after `since_ms`: its holder, or '' for none."""
+        """Waits for an accepted operation under the purge lease after `since_ms`; returns its holder.
+
+        The name is empty if there was no such operation in time.
+        """
         end_s = time.monotonic() + within_s
         while time.monotonic() < end_s:
             records = self._running().hubs[0].fence.records
-            later = [one for one in records if one.is_accepted and one.received_at_ms > since_ms]
+            later = [record for record in records if record.is_accepted and record.received_at_ms > since_ms]
             if later:
                 return later[-1].holder
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -90,12 +93,14 @@
         return self._running().verdict()
 
     def holders_between(self, after_ms: float, before_ms: float) -> set[str]:
-        """Whose operations under the purge lease were accepted in a time."""
+        """The holders whose operations under the purge lease were accepted between two times."""
         operations = self._running().hubs[0].fence.records
         return {
-            one.holder for one in operations if one.is_accepted and after_ms < one.received_at_ms < before_ms
+            operation.holder
+            for operation in operations
+            if operation.is_accepted and after_ms < operation.received_at_ms < before_ms
         }
 
     def _running(self) -> Fleet:
-        assert self.fleet is not None, "the test starts its fleet first"
+        assert self.fleet is not None, "the test has not started a fleet"
         return self.fleet
