--- a/tests/test_golden_leases.py
+++ b/tests/test_golden_leases.py
@@ -1,4 +1,4 @@
-"""Bytes, stored rows, views and names of leases as version 090a370 wrote them: read, and written alike."""
+"""Datagrams, stored rows, views and names of leases are the same as those of version 090a370."""
 
 import asyncio
 import hashlib
@@ -44,7 +44,7 @@
     return new_authenticator(key).sign(payload, now_ms, nonce)
 
 
-ORDER = messages.PurgeRequest("00ff", "o:7f3a9c21", "a", 1_764_576_000_123.5)
+PURGE_REQUEST = messages.PurgeRequest("00ff", "o:7f3a9c21", "a", 1_764_576_000_123.5)
 MESSAGES: dict[str, messages.Message] = {
     "ask": messages.VoteRequest("purge", 3, "a", 9),
     "sound": messages.PreVoteRequest("purge", "a", 9),
@@ -57,12 +57,12 @@
     "act": messages.FencedOperation("purge", 3, "a", 1_764_576_000_123.5, 7, "00ff", b"o:7f3a9c21"),
     "acked": messages.OperationResponse("purge", 3, 7, True, 3),
     "acked_refused": messages.OperationResponse("purge", 3, 7, False, 4),
-    "order": ORDER,
+    "order": PURGE_REQUEST,
     "kept": messages.Replicated("00ff", "b"),
     "finished": messages.Completed("00ff", 4),
     "wanted": messages.SyncRequest("a", 2),
     "wanted_after": messages.SyncRequest("a", 2, "00ff"),
-    "open": messages.SyncResponse("b", 2, [ORDER], True),
+    "open": messages.SyncResponse("b", 2, [PURGE_REQUEST], True),
     "open_last": messages.SyncResponse("b", 2, []),
     "figures": messages.DirectorMetrics(
         "a", 5, 1_764_576_000_123.5, {"served": 7, "refused": 0, "failed": 1, "attempts": 9}
@@ -71,43 +71,43 @@
 
 
 @pytest.mark.parametrize("name", sorted(MESSAGES))
-def test_messages_are_read_and_written_as_they_were(name: str) -> None:
+def test_messages_are_encoded_and_decoded_as_in_the_golden_data(name: str) -> None:
     golden = bytes.fromhex(GOLDEN["messages"][name])
     assert messages.encode(MESSAGES[name]) == golden
     assert messages.decode(golden) == MESSAGES[name]
 
 
 @pytest.mark.parametrize("name", sorted(MESSAGES))
-def test_sealed_datagrams_are_opened_and_sealed_as_they_were(name: str) -> None:
+def test_datagrams_are_signed_and_verified_as_in_the_golden_data(name: str) -> None:
     golden = bytes.fromhex(GOLDEN["sealed"][name])
     assert sign(messages.encode(MESSAGES[name]), WALL_MS, 77) == golden
-    opened = new_authenticator().verify(golden, WALL_MS)
-    assert isinstance(opened, bytes) and messages.decode(opened) == MESSAGES[name]
+    verified = new_authenticator().verify(golden, WALL_MS)
+    assert isinstance(verified, bytes) and messages.decode(verified) == MESSAGES[name]
 
 
-def test_stored_rows_are_read_and_written_as_they_were() -> None:
+def test_stored_rows_are_encoded_and_decoded_as_in_the_golden_data() -> None:
     rows = {name: bytes.fromhex(row) for name, row in GOLDEN["rows"].items()}
     assert (GRANT_SPACE, PURGE_SPACE) == ("grant", "order")
-    assert rows == {"grant": encode_row(GrantRecord(7, "a")), "order": encode_row(ORDER)}
+    assert rows == {"grant": encode_row(GrantRecord(7, "a")), "order": encode_row(PURGE_REQUEST)}
     assert decode_grant(rows["grant"]) == GrantRecord(7, "a")
     assert decode_grants({"purge": rows["grant"], "torn": b"\x93"}) == {"purge": GrantRecord(7, "a")}
-    orders = PurgeRequests("b", ("a", "b"), ("@purge/0",), random.Random(2), {"00ff": rows["order"]})
-    assert orders.requests_to_forward() == [ORDER]
+    purges = PurgeRequests("b", ("a", "b"), ("@purge/0",), random.Random(2), {"00ff": rows["order"]})
+    assert purges.requests_to_forward() == [PURGE_REQUEST]
 
 
-def world_trace() -> dict[str, object]:
-    """Every datagram between directors in virtual time under faults, and what the sink recorded."""
-    world, lines = LeaseSimulation(5, 3), list[str]()
-    post = world.post
+def simulation_trace() -> dict[str, object]:
+    """Every datagram between directors in virtual time under faults, and the operations recorded."""
+    simulation, lines = LeaseSimulation(5, 3), list[str]()
+    post = simulation.post
 
-    def note(source: str, target: str, payload: bytes) -> None:
-        lines.append(f"{world.now_ms:.6f} {source}>{target} {payload.hex()}")
+    def record_datagram(source: str, target: str, payload: bytes) -> None:
+        lines.append(f"{simulation.now_ms:.6f} {source}>{target} {payload.hex()}")
         post(source, target, payload)
 
-    world.post = note  # type: ignore[method-assign]
-    world.schedule(generate_schedule(9, world.names, 8_000.0, 5))
-    world.start()
-    world.run_until(8_000.0)
+    simulation.post = record_datagram  # type: ignore[method-assign]
+    simulation.schedule(generate_schedule(9, simulation.names, 8_000.0, 5))
+    simulation.start()
+    simulation.run_until(8_000.0)
     records = [
         (
             record.task,
@@ -117,7 +117,7 @@
             round(record.received_at_ms, 6),
             record.is_accepted,
         )
-        for record in world.fence.records
+        for record in simulation.fence.records
     ]
     return {
         "datagrams": len(lines),
@@ -127,8 +127,8 @@
     }
 
 
-def test_directors_in_virtual_time_send_what_they_sent() -> None:
-    assert world_trace() == GOLDEN["world"]
+def test_directors_in_virtual_time_send_the_golden_datagrams() -> None:
+    assert simulation_trace() == GOLDEN["world"]
 
 
 class VirtualClock(LeaseClock):
@@ -138,8 +138,8 @@
         return self.now
 
 
-class Rows:
-    """The store's writer: every row lasts at once, and is noted."""
+class RecordingRowWriter:
+    """A row writer that records every row and reports it as durable at once."""
 
     def __init__(self) -> None:
         self.written: list[list[str | None]] = []
@@ -158,8 +158,8 @@
         return future
 
 
-class Wire:
-    """One director's socket: what it sends to itself comes back, the rest is noted."""
+class RecordingSocket:
+    """One director's socket: records the datagrams that are sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, tuple[str, int]]] = []
@@ -174,7 +174,7 @@
         self.sent.append((data, address))
 
 
-class NoDeadlines:
+class UnusedDeadlines:
     def add(self, when_ms: float, call: object) -> None:
         return None
 
@@ -185,14 +185,19 @@
 SELF_PORT = 1
 PORTS = {"a": SELF_PORT, "@purge/0": 2, "@purge/1": 3, "@report/0": 4}
 RESOURCES = {"purge": ("@purge/0", "@purge/1"), "report": ("@report/0",)}
-ANSWERS_FROM_MS = 2_000.0  # resources are silent before
+RESPONSES_FROM_MS = 2_000.0  # resources do not respond before this time
 
 
 class TracedDirector:
-    """One director with purges and reports to send, all it sends, and resources that accept everything."""
+    """A director with purges and reports, a record of its datagrams, and resources that accept everything."""
 
     def __init__(self) -> None:
-        self.clock, self.wire, self.rows, self.counters = VirtualClock(), Wire(), Rows(), Counters()
+        self.clock, self.wire, self.rows, self.counters = (
+            VirtualClock(),
+            RecordingSocket(),
+            RecordingRowWriter(),
+            Counters(),
+        )
         config, rng = LeaseConfig(), random.Random(4)
         candidate = LeaseCandidate("a", ("a",), ("purge", "report"), config, rng, 0.0)
         self.purges = PurgeRequests("a", ("a",), RESOURCES["purge"], rng, {})
@@ -209,13 +214,13 @@
             self.clock,
             self.steady_ms,
             InstantConverter(self.steady_ms, lambda: UnixInstant(self.steady_ms())),
-            cast(Deadlines, NoDeadlines()),
+            cast(Deadlines, UnusedDeadlines()),
             self.counters,
         )
         self.leases.random = cast(random.SystemRandom, random.Random(6))
         self.leases.transport = cast(asyncio.DatagramTransport, self.wire)
         self.resources_authenticator = new_authenticator()
-        self.answer_count = 0
+        self.response_count = 0
         self.datagrams: list[str] = []
         self.views: dict[str, object] = {}
 
@@ -227,7 +232,7 @@
         self.leases.datagram_received(sealed, ("x", port))
 
     async def step(self, elapsed_ms: float) -> None:
-        """Lets time pass, and delivers whatever is sent until nothing more is."""
+        """Advances the clock; delivers datagrams to itself and to resources until no more are sent."""
         self.clock.now += elapsed_ms
         self.leases._tick()
         for _ in range(50):
@@ -238,22 +243,22 @@
             self.datagrams.append(f"{self.clock.now} {port} {data.hex()}")
             if port == SELF_PORT:
                 self.leases.datagram_received(data, ("x", SELF_PORT))
-            elif self.clock.now >= ANSWERS_FROM_MS:
-                self.answer(data, port)
+            elif self.clock.now >= RESPONSES_FROM_MS:
+                self.respond(data, port)
 
-    def answer(self, data: bytes, port: int) -> None:
+    def respond(self, data: bytes, port: int) -> None:
         payload = self.resources_authenticator.verify(data, WALL_MS + self.clock.now)
         assert isinstance(payload, bytes)
         operation = messages.decode(payload)
         assert isinstance(operation, messages.FencedOperation)
         if operation.number:
-            self.answer_count += 1
+            self.response_count += 1
             token = operation.token
             accepted = messages.OperationResponse(operation.task, token, operation.number, True, token)
-            self.receive(accepted, self.answer_count, port)
+            self.receive(accepted, self.response_count, port)
 
     async def purge(self) -> None:
-        """A purge from the operator's request until both hubs have accepted it."""
+        """Carries a purge from the operator's request until both hubs have accepted it."""
         for _ in range(25):
             await self.step(50.0)
         request_id = self.leases.request_purge("o:7f3a9c21")
@@ -266,18 +271,18 @@
         self.views["order_finished"] = msgspec.to_builtins(self.purges.status(request_id))
         self.views["finished"] = msgspec.to_builtins(self.leases.status())
 
-    def receive_noise(self) -> None:
+    def receive_invalid_datagrams(self) -> None:
         self.leases.datagram_received(b"noise", ("x", 9))
         for key in (KEY, key_from_secret(b"s" * 32)):
             self.leases.datagram_received(sign(b"\x93", WALL_MS + self.clock.now, 99, key), ("x", 9))
         self.leases.error_received(OSError())
 
     async def lose_leases(self) -> None:
-        """One lease to a fence, one handed on, one expired; and a rival that is refused."""
+        """Loses a lease to a fence, hands one on and lets one expire; denies another candidate's request."""
         self.receive(messages.OperationResponse("report", 1, 1, False, 9), 1_000_001, 4)
         tasks = ("purge", "purge", "report", "none")
         self.views["hand_on"] = [self.leases.hand_on(task, "b") for task in tasks]
-        for nonce in (1_000_002, 1_000_003):  # the second within the time in which it is not logged again
+        for nonce in (1_000_002, 1_000_003):  # the second one follows too soon to be logged again
             self.receive(messages.VoteRequest("purge", 1, "c", 1), nonce, 9)
         report = self.leases.candidate.leases["report"]
         report.term, report.expires_at_ms = 5, 0.0
@@ -289,7 +294,7 @@
     director = TracedDirector()
     with structlog.testing.capture_logs() as events:
         await director.purge()
-        director.receive_noise()
+        director.receive_invalid_datagrams()
         await director.lose_leases()
     return {
         "datagrams": director.datagrams,
@@ -300,14 +305,14 @@
     }
 
 
-async def sink_trace(monkeypatch: pytest.MonkeyPatch) -> dict[str, object]:
-    """What the fenced resource answers to operations of two tokens."""
+async def resource_trace(monkeypatch: pytest.MonkeyPatch) -> dict[str, object]:
+    """The fenced resource's responses to operations under different tokens, and its records."""
     monkeypatch.setattr(time, "time", lambda: WALL_MS / 1_000.0)
-    sink, wire, authenticator = FencedResource((KEY,)), Wire(), new_authenticator()
-    sink.random = cast(random.SystemRandom, random.Random(8))
-    sink.transport = cast(asyncio.DatagramTransport, wire)
+    resource, wire, authenticator = FencedResource((KEY,)), RecordingSocket(), new_authenticator()
+    resource.random = cast(random.SystemRandom, random.Random(8))
+    resource.transport = cast(asyncio.DatagramTransport, wire)
     body = json.dumps({"part": 0, "parts": 1, "rows": [{"name": "a", "served": 3}], "missing": []}).encode()
-    told = (
+    operations = (
         messages.FencedOperation("purge", 3, "a", WALL_MS),
         messages.FencedOperation("purge", 3, "a", WALL_MS, 1, "00ff", b"o:7f3a9c21"),
         messages.FencedOperation("purge", 4, "b", WALL_MS, 1, "00ff", b"o:7f3a9c21"),
@@ -315,27 +320,27 @@
         messages.FencedOperation("purge", 2, "a", WALL_MS),
         messages.FencedOperation("report", 1, "a", WALL_MS, 3, "5-1-0", body),
     )
-    for number, act in enumerate(told):
-        sink.datagram_received(authenticator.sign(messages.encode(act), WALL_MS, number), ("x", 9))
-    sink.datagram_received(b"noise", ("x", 9))
+    for number, operation in enumerate(operations):
+        resource.datagram_received(authenticator.sign(messages.encode(operation), WALL_MS, number), ("x", 9))
+    resource.datagram_received(b"noise", ("x", 9))
     return {
         "answers": [data.hex() for data, _ in wire.sent],
-        "purged": {id: [done.target, done.token, done.holder] for id, done in sink.purges.items()},
-        "reports": sink.reports,
-        "rows": sink.rows,
-        "again": sink.repeated_purge_count,
-        "malformed": sink.malformed_count,
+        "purged": {id: [purge.target, purge.token, purge.holder] for id, purge in resource.purges.items()},
+        "reports": resource.reports,
+        "rows": resource.rows,
+        "again": resource.repeated_purge_count,
+        "malformed": resource.malformed_count,
     }
 
 
-def test_one_director_sends_stores_logs_and_counts_what_it_did() -> None:
+def test_one_director_sends_stores_logs_and_counts_as_in_the_golden_data() -> None:
     trace = json.loads(json.dumps(asyncio.run(director_trace())))
     for part, golden in GOLDEN["director"].items():
         assert trace[part] == golden, part
     assert set(trace) == set(GOLDEN["director"])
 
 
-def test_the_trace_has_every_event_and_counter_of_the_operators_page() -> None:
+def test_the_golden_trace_has_every_documented_event_and_counter() -> None:
     kinds = Counter(event["event"] for event in GOLDEN["director"]["events"])
     assert set(kinds) == {
         "lease_granted", "lease_refused", "lease_won", "lease_expired", "lease_released", "lease_fenced",
@@ -344,28 +349,28 @@
     assert kinds["lease_refused"] == 1 and GOLDEN["director"]["counters"]["leases.refused"] == 2
 
 
-def test_the_fenced_resource_answers_what_it_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert json.loads(json.dumps(asyncio.run(sink_trace(monkeypatch)))) == GOLDEN["sink"]
+def test_the_fenced_resource_responds_as_in_the_golden_data(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert json.loads(json.dumps(asyncio.run(resource_trace(monkeypatch)))) == GOLDEN["sink"]
 
 
-def test_what_is_no_message_is_refused() -> None:
+def test_invalid_messages_are_rejected() -> None:
     for noise in (b"", b"\x93", b"\x92\x05\xa1a", b"\x91\x63"):
         with pytest.raises((msgspec.MsgspecError, ValueError)):
             messages.decode(noise)
 
 
 def capture() -> dict[str, Any]:
-    """What the golden data hold, as the present code makes it: `python -m tests.test_golden_leases`."""
+    """The golden data as the present code produces them: `python -m tests.test_golden_leases`."""
     sealed = {name: sign(messages.encode(message), WALL_MS, 77).hex() for name, message in MESSAGES.items()}
     with pytest.MonkeyPatch.context() as patch:
-        sink = asyncio.run(sink_trace(patch))
+        resource = asyncio.run(resource_trace(patch))
     return {
         "messages": {name: messages.encode(message).hex() for name, message in MESSAGES.items()},
         "sealed": sealed,
-        "rows": {"grant": encode_row(GrantRecord(7, "a")).hex(), "order": encode_row(ORDER).hex()},
-        "world": world_trace(),
+        "rows": {"grant": encode_row(GrantRecord(7, "a")).hex(), "order": encode_row(PURGE_REQUEST).hex()},
+        "world": simulation_trace(),
         "director": asyncio.run(director_trace()),
-        "sink": sink,
+        "sink": resource,
     }
 
 
--- a/tests/test_lease_settings.py
+++ b/tests/test_lease_settings.py
@@ -1,4 +1,4 @@
-"""The `[leases]` table: a setting that cannot be used is one line that names its key."""
+"""The `[leases]` table: the error for an invalid setting is one line that names its key."""
 
 import re
 from pathlib import Path
@@ -43,7 +43,7 @@
         ("a", TABLE.format("", "", "").replace(":2'", "'"), "leases.hubs: "),
     ],
 )
-def test_a_lease_setting_that_cannot_be_used_is_one_line_naming_its_key(
+def test_the_error_for_an_invalid_lease_setting_is_one_line_that_names_its_key(
     tmp_path: Path, name: str, text: str, message: str
 ) -> None:
     path = tmp_path / "g.toml"
