--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -72,13 +72,13 @@
         # The request is not made at the holder, which could forward it at once, without replicas.
         holder = await self.wait_for_holder(unix_now_ms())
         isolated = next(name for name in fleet.names if name != holder)
-        partition = asyncio.ensure_future(
+        partition_fault = asyncio.ensure_future(
             play_fault(fleet, Fault(0.0, 4_000.0, FaultKind.PARTITION, (isolated,)))
         )
         await asyncio.sleep(0.2)
         code, output = await asyncio.to_thread(command, fleet, "purge", "--wait-s", "1", "o:1", isolated)
         assert code == 1 and f"kept by {isolated}" in output, output
-        await partition
+        await partition_fault
         assert await self.wait_until_purged(fleet, [output.partition(":")[0]])
         assert self.verdict().is_safe, self.verdict()
 
--- a/tests/test_golden_leases.py
+++ b/tests/test_golden_leases.py
@@ -91,8 +91,8 @@
     assert rows == {"grant": encode_row(GrantRecord(7, "a")), "order": encode_row(PURGE_REQUEST)}
     assert decode_grant(rows["grant"]) == GrantRecord(7, "a")
     assert decode_grants({"purge": rows["grant"], "torn": b"\x93"}) == {"purge": GrantRecord(7, "a")}
-    purges = PurgeRequests("b", ("a", "b"), ("@purge/0",), random.Random(2), {"00ff": rows["order"]})
-    assert purges.requests_to_forward() == [PURGE_REQUEST]
+    restored = PurgeRequests("b", ("a", "b"), ("@purge/0",), random.Random(2), {"00ff": rows["order"]})
+    assert restored.requests_to_forward() == [PURGE_REQUEST]
 
 
 def simulation_trace() -> dict[str, object]:
@@ -312,7 +312,7 @@
     resource.random = cast(random.SystemRandom, random.Random(8))
     resource.transport = cast(asyncio.DatagramTransport, wire)
     body = json.dumps({"part": 0, "parts": 1, "rows": [{"name": "a", "served": 3}], "missing": []}).encode()
-    operations = (
+    sent_operations = (
         messages.FencedOperation("purge", 3, "a", WALL_MS),
         messages.FencedOperation("purge", 3, "a", WALL_MS, 1, "00ff", b"o:7f3a9c21"),
         messages.FencedOperation("purge", 4, "b", WALL_MS, 1, "00ff", b"o:7f3a9c21"),
@@ -320,12 +320,16 @@
         messages.FencedOperation("purge", 2, "a", WALL_MS),
         messages.FencedOperation("report", 1, "a", WALL_MS, 3, "5-1-0", body),
     )
-    for number, operation in enumerate(operations):
-        resource.datagram_received(authenticator.sign(messages.encode(operation), WALL_MS, number), ("x", 9))
+    for number, sent_operation in enumerate(sent_operations):
+        resource.datagram_received(
+            authenticator.sign(messages.encode(sent_operation), WALL_MS, number), ("x", 9)
+        )
     resource.datagram_received(b"noise", ("x", 9))
     return {
         "answers": [data.hex() for data, _ in wire.sent],
-        "purged": {id: [purge.target, purge.token, purge.holder] for id, purge in resource.purges.items()},
+        "purged": {
+            id: [accepted.target, accepted.token, accepted.holder] for id, accepted in resource.purges.items()
+        },
         "reports": resource.reports,
         "rows": resource.rows,
         "again": resource.repeated_purge_count,
--- a/tests/test_lease_holder_tasks.py
+++ b/tests/test_lease_holder_tasks.py
@@ -36,10 +36,10 @@
     return PurgeRequests("b", ("a", "b", "c"), ("@purge/0",), random.Random(2), rows)
 
 
-def carry_out_saves(purges: PurgeRequests, outputs: list[Output]) -> list[Output]:
+def carry_out_saves(purges: PurgeRequests, actions: list[Output]) -> list[Output]:
     """The outputs that are carried out on a disk on which every row is durable at once."""
     done: list[Output] = []
-    for action in outputs:
+    for action in actions:
         if isinstance(action, Save):
             if action.value is not None:
                 purges.mark_durable(action.key)
@@ -51,10 +51,10 @@
 
 def test_a_purge_is_acknowledged_by_a_majority_kept_over_a_restart_and_deleted_once_completed() -> None:
     receiver = PurgeRequests("a", ("a", "b", "c"), ("@purge/0", "@purge/1"), random.Random(1), {})
-    purge, outputs = receiver.create("o:1", 0.0, 5.0)
+    purge, actions = receiver.create("o:1", 0.0, 5.0)
     # It is neither acknowledged nor forwarded before it is durable here.
     assert not receiver.status(purge.request_id).is_acknowledged and not receiver.requests_to_forward()
-    carry_out_saves(receiver, outputs)
+    carry_out_saves(receiver, actions)
     assert sent(receiver.tick(0.0)) == [Send("b", purge), Send("c", purge)]
     replica = restored({})
     (save,) = replica.handle_request(purge)
@@ -67,9 +67,9 @@
     receiver.handle_replicated(Replicated(purge.request_id, "b"))
     assert receiver.status(purge.request_id).is_acknowledged and receiver.requests_to_forward() == [purge]
     assert receiver.handle_forwarded(purge.request_id, "@purge/0", 4) == []
-    outputs = receiver.handle_forwarded(purge.request_id, "@purge/1", 4)
-    assert Send("b", Completed(purge.request_id, 4)) in outputs
-    assert Save(PURGE_SPACE, purge.request_id, None) in outputs
+    actions = receiver.handle_forwarded(purge.request_id, "@purge/1", 4)
+    assert Send("b", Completed(purge.request_id, 4)) in actions
+    assert Save(PURGE_SPACE, purge.request_id, None) in actions
     assert receiver.status(purge.request_id).state is PurgeState.COMPLETED
     assert receiver.handle_completed(Completed(purge.request_id, 4)) == []
     # A delayed message does not open a completed request again.
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -138,10 +138,10 @@
     deliver_all(candidate, voters, candidate.tick(RETRY_MS), RETRY_MS)
     assert [voter.promises["d"].holder for voter in voters[:2]] == ["z", "z"] and not voters[2].promises
     # The remaining time of both voters' promises; the candidate retries after half a lease at most.
-    remaining_ms = CONFIG.promise_ms - RETRY_MS
-    assert remaining_ms > CONFIG.lease_ms / 2.0 and candidate.leases["d"].highest_term == 6
-    next_due_ms = candidate.next_due_ms()
-    assert CONFIG.lease_ms / 2.0 <= next_due_ms - RETRY_MS <= CONFIG.lease_ms / 2.0 + RETRY_MS
+    promise_left_ms = CONFIG.promise_ms - RETRY_MS
+    assert promise_left_ms > CONFIG.lease_ms / 2.0 and candidate.leases["d"].highest_term == 6
+    retry_at_ms = candidate.next_due_ms()
+    assert CONFIG.lease_ms / 2.0 <= retry_at_ms - RETRY_MS <= CONFIG.lease_ms / 2.0 + RETRY_MS
     deliver_all(candidate, voters, candidate.tick(CONFIG.promise_ms + RETRY_MS), CONFIG.promise_ms + 1.0)
     assert candidate.token("d", CONFIG.promise_ms + RETRY_MS + 2.0) == 7
 
