--- a/tests/test_golden_leases.py
+++ b/tests/test_golden_leases.py
@@ -328,7 +328,7 @@
     return {
         "answers": [data.hex() for data, _ in wire.sent],
         "purged": {
-            id: [accepted.target, accepted.token, accepted.holder] for id, accepted in resource.purges.items()
+            id: [purged.target, purged.token, purged.holder] for id, purged in resource.purges.items()
         },
         "reports": resource.reports,
         "rows": resource.rows,
