--- a/gladewalk/leases/candidate.py
+++ b/gladewalk/leases/candidate.py
@@ -48,7 +48,7 @@
     sent_at_ms: float
     granted_by: set[str] = field(default_factory=set)
     denied_by: set[str] = field(default_factory=set)
-    remaining_ms: dict[str, float] = field(default_factory=dict)  # of a pre-vote: until the voter grants
+    remaining_ms: dict[str, float] = field(default_factory=dict)  # of a pre-vote: until it would grant
 
 
 @dataclass(slots=True)
@@ -152,7 +152,7 @@
             lease.election = self._new_round(lease.highest_term + 1, now_ms)
             return self._request_votes(response.task, lease.election)
         promised_ms = sorted(left_ms for left_ms in pre_vote.remaining_ms.values() if left_ms > 0.0)
-        if len(promised_ms) >= self.blocking_votes:  # no majority until fewer promises are left
+        if len(promised_ms) >= self.blocking_votes:  # no majority until some of them end
             wait_ms = promised_ms[len(promised_ms) - self.blocking_votes]
             return self._abandon_round(response.task, lease, now_ms, wait_ms)
         return []
@@ -202,7 +202,7 @@
         return []
 
     def handle_release(self, release: LeaseRelease, now_ms: float) -> list[Output]:
-        """Schedules an election after another director's release; later if this one is not the successor."""
+        """Schedules an election after another director's release; later if that names another successor."""
         lease = self.leases.get(release.task)
         if lease is None or lease.term:
             return []
@@ -233,7 +233,7 @@
         if not lease.term:
             return []
         outputs = self._release(task, lease, EventKind.RELEASED, now_ms, successor)
-        lease.next_election_at_ms = now_ms + self.config.promise_ms  # another director wins the lease first
+        lease.next_election_at_ms = now_ms + self.config.promise_ms  # gives another director time to win it
         return outputs
 
     def status(self, now_ms: float) -> dict[str, LeaseStatus]:
--- a/gladewalk/leases/purge_requests.py
+++ b/gladewalk/leases/purge_requests.py
@@ -61,11 +61,11 @@
 
     number: int
     due_at_ms: float
-    complete_replicas: set[str] = field(default_factory=set)  # that sent their last page
+    complete_replicas: set[str] = field(default_factory=set)  # directors that sent their last page
 
 
 class PurgeRequests:
-    """One director's purge requests; `directors` names them all, with this one, `hubs` the hub caches."""
+    """One director's purge requests; `directors` names all (with this one), `hubs` the hub caches."""
 
     def __init__(
         self,
@@ -198,7 +198,7 @@
         return outputs
 
     def sync(self, now_ms: float) -> list[Output]:
-        """Begins a synchronisation if one is due, as it is when the lease was just won; for its holder."""
+        """Begins a synchronisation if one is due, at once after the lease was won; called by its holder."""
         if self.sync_round is None and now_ms < self.synced_at_ms + SYNC_INTERVAL_MS:
             return []
         if self.sync_round is not None and now_ms < self.sync_round.due_at_ms:
