--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,7 +30,7 @@
 
 
 async def report_load(request: ReceivedRequest) -> None:
-    await request.answer(200, X_Meter="util:0.1")
+    await request.respond(200, X_Meter="util:0.1")
 
 
 class ControlSocket(unittest.IsolatedAsyncioTestCase):
@@ -92,7 +92,7 @@
             self.assertEqual(get_exit_code(0.05), DirectorTimeoutError.exit_code)
             for response in (b"220 hello\n", b'{"v":7,"data":1}\n', b""):
 
-                def respond(response: bytes = response) -> None:
+                def send_response(response: bytes = response) -> None:
                     connection, _ = listener.accept()
                     with connection:
                         connection.recv(1_000)
@@ -100,7 +100,7 @@
 
                 # The first connection in the queue is that of the query that timed out.
                 listener.accept()[0].close() if response == b"220 hello\n" else None
-                thread = threading.Thread(target=respond)
+                thread = threading.Thread(target=send_response)
                 thread.start()
                 self.assertEqual(
                     get_exit_code(), (VersionMismatchError if response else DirectorNotRunningError).exit_code
@@ -134,8 +134,8 @@
         async with DirectorHarness(caches, options=build_options(tables, "t", folder)) as harness:
             director = harness.director
             assert director is not None and director.task_runner is not None and director.members is not None
-            duties = director.task_runner
-            await wait_until(lambda: len(duties.owned_tasks()) == 3)
+            task_runner = director.task_runner
+            await wait_until(lambda: len(task_runner.owned_tasks()) == 3)
 
             def run(*flags: str) -> tuple[int, str]:
                 command_line = ["members", "--config", str(folder / "g.toml"), *flags]
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -16,7 +16,7 @@
 from gladewalk.faultnet.expected_failures import expected_failures
 from gladewalk.faultnet.fleet import Fleet
 from gladewalk.faultnet.membership_cases import CASES, FaultCase
-from gladewalk.faultnet.nemesis import play_schedule
+from gladewalk.faultnet.nemesis import run_schedule
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.members.actions import MemberChange
 from gladewalk.members.config import MembershipConfig
@@ -71,7 +71,7 @@
         return "the members did not converge after their start"
     await asyncio.sleep(STABLE_SECONDS)
     begun_ms, faults = time.time() * 1000.0, case.faults(fleet.names)
-    await play_schedule(fleet, faults)
+    await run_schedule(fleet, faults)
     if case.kind == FaultKind.KILL:  # members would count as converged until the killed one has restarted
         await wait_until_true(lambda: start_count(fleet, faults[0].targets[0]) == 2, RESTART_SECONDS)
     if not await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS):
@@ -81,7 +81,7 @@
     unexpected = unexpected_deaths(changes, expected_failures(faults, fleet.names, begun_ms, MAX_STALL_MS))
     victim = faults[0].targets[0] if faults[0].targets else ""
     detected_ms = detection_times_ms(changes, victim, begun_ms, set(fleet.names) - {victim})
-    is_missed = case.must_be_found_dead and len(detected_ms) < len(fleet.names) - 1
+    is_missed = case.must_be_declared_dead and len(detected_ms) < len(fleet.names) - 1
     if unexpected or is_missed or not has_converged(fleet):
         return f"unexpected {unexpected}, declared dead after {detected_ms}: {history_of(changes)}"
     return ""
@@ -136,7 +136,7 @@
 
         async def answer(request: ReceivedRequest) -> None:
             checked_ms.setdefault(request.server.uid, []).append(time.monotonic() * 1000.0)
-            await request.answer(200, b"", X_Load="util=0.1")
+            await request.respond(200, b"", X_Load="util=0.1")
 
         caches = tuple([await ScriptedServer(answer, uid=f"c{number}").start() for number in range(8)])
         try:
@@ -148,7 +148,7 @@
             await asyncio.sleep(2.0)
             begun_ms = time.monotonic() * 1000.0
             for kind in (FaultKind.PAUSE, FaultKind.KILL, FaultKind.CUT_OUT):
-                await play_schedule(fleet, [Fault(0.0, 5_000.0, kind, ("n2",))])
+                await run_schedule(fleet, [Fault(0.0, 5_000.0, kind, ("n2",))])
                 assert await wait_until_true(lambda: has_converged(fleet), CONVERGE_SECONDS), kind
             ended_ms = time.monotonic() * 1000.0
             times_ms = {uid: [at for at in times if at >= begun_ms] for uid, times in checked_ms.items()}
--- a/tests/test_fleet_works.py
+++ b/tests/test_fleet_works.py
@@ -7,7 +7,7 @@
 
 from gladewalk.control.client import ControlError
 from gladewalk.faultnet.fleet import Fleet
-from gladewalk.faultnet.nemesis import play_fault
+from gladewalk.faultnet.nemesis import inject_fault
 from gladewalk.faultnet.schedule import Fault, FaultKind
 from gladewalk.rehearsal.http_messages import encode_request, read_message
 from gladewalk.rehearsal.scripted_servers import ScriptedServer
@@ -40,7 +40,7 @@
         # The hubs drop everything while purges are requested. The holder is killed before it can forward one,
         # and the director that received the requests right after their acknowledgement.
         for hub in fleet.hubs:
-            hub.is_deaf = True
+            hub.is_unresponsive = True
         ids = [(await fleet.query(other, "purge", what=f"g:{number}"))["id"] for number in range(9)]
 
         async def wait_until_acknowledged() -> None:
@@ -53,7 +53,7 @@
         await fleet.start(holder)
         await fleet.kill(other)
         for hub in fleet.hubs:
-            hub.is_deaf = False
+            hub.is_unresponsive = False
         assert await self.wait_until_purged(fleet, ids, 15.0)
         for hub in fleet.hubs:
             assert [hub.purges[id].target for id in ids] == [f"g:{number}" for number in range(9)]
@@ -73,7 +73,7 @@
         holder = await self.wait_for_holder(unix_now_ms())
         isolated = next(name for name in fleet.names if name != holder)
         partition_fault = asyncio.ensure_future(
-            play_fault(fleet, Fault(0.0, 4_000.0, FaultKind.PARTITION, (isolated,)))
+            inject_fault(fleet, Fault(0.0, 4_000.0, FaultKind.PARTITION, (isolated,)))
         )
         await asyncio.sleep(0.2)
         code, output = await asyncio.to_thread(command, fleet, "purge", "--wait-s", "1", "o:1", isolated)
--- a/tests/test_http2_retries.py
+++ b/tests/test_http2_retries.py
@@ -18,7 +18,7 @@
     Http2Script,
     ScriptedHttp2Server,
 )
-from gladewalk.rehearsal.write_soak import play_h2, ticket
+from gladewalk.rehearsal.write_soak import run_http2_soak, ticket
 from gladewalk.streams.stream_tracker import UNPROCESSED_REASONS, EndReason, StreamOutcome
 
 from .http2_rehearsal import (
@@ -38,7 +38,7 @@
 ) -> tuple[int, ScriptedHttp2Server, ScriptedHttp2Server, dict[str, int]]:
     """Sends one write; its first attempts go to a cache with this script, later ones to the origin."""
     server = ScriptedHttp2Server(script, "c1")
-    origin = ScriptedHttp2Server(lambda request: request.answer(200, b"taken"), "o", "origin", "north")
+    origin = ScriptedHttp2Server(lambda request: request.respond(200, b"taken"), "o", "origin", "north")
     async with rehearse(server, origin) as rehearsal:
         status = await write(rehearsal, 1)
         return status, server, origin, counters_of(rehearsal)
@@ -133,7 +133,7 @@
         connection.send_goaway(connection.last_processed_id)  # the fifth and the sixth were not processed
         await wait_until(lambda: len(received) == 9)  # both were retried on the new connection
         for request in (*received[:4], *received[6:]):
-            request.answer(200, b"taken")
+            request.respond(200, b"taken")
         assert await asyncio.gather(*requests, later_request) == [200] * 7
         # The first connection is closed when its last stream has ended.
         await wait_until(lambda: len(server.open_connections) == 1)
@@ -165,7 +165,7 @@
 @async_test
 async def test_an_unresponsive_connection_is_detected_by_ping_and_not_used_any_more() -> None:
     def stop_responding(request: Http2Request) -> None:
-        request.connection.is_silent = True
+        request.connection.is_unresponsive = True
 
     server = ScriptedHttp2Server(stop_responding)
     async with rehearse(server, ping_after_ms=50.0, ping_wait_ms=50.0) as rehearsal:
@@ -231,7 +231,7 @@
 
 def test_2000_writes_with_random_faults_are_processed_at_most_once_and_retried_with_proof() -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        report = runner.run(play_h2(11, 2_000, 0.12, options_for("h2c")))
+        report = runner.run(run_http2_soak(11, 2_000, 0.12, options_for("h2c")))
     assert not report.has_violation, report
     assert len(report.statuses) == 2_000
     assert len(report.faults) == 13  # each kind of fault occurred
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,7 @@
 from gladewalk.leases.outputs import GRANT_SPACE, GrantRecord, Output, Save, Send, decode_grant, encode_row
 from gladewalk.leases.voter import Voter
 from gladewalk.rehearsal.lease_faults import Fault, FaultKind
-from gladewalk.rehearsal.lease_simulation import LeaseSimulation, play, play_skewed
+from gladewalk.rehearsal.lease_simulation import LeaseSimulation, run_schedule, run_with_skewed_clocks
 
 CONFIG = LeaseConfig()
 RETRY_MS = CONFIG.max_retry_delay_ms
@@ -254,7 +254,7 @@
     assert check_history(records, end_ms=2_200.0, excluded_spans=[(500.0, 1_500.0)]).max_gap_ms == 1_000.0
 
 
-def run_schedule(
+def run_faults(
     director_count: int, faults: list[Fault], length_ms: float = 8_000.0, seed: int = 5
 ) -> tuple[LeaseSimulation, Verdict]:
     simulation = LeaseSimulation(seed, director_count)
@@ -275,7 +275,7 @@
 
 
 def first_holder(director_count: int) -> str:
-    simulation, _ = run_schedule(director_count, [], length_ms=3_000.0)
+    simulation, _ = run_faults(director_count, [], length_ms=3_000.0)
     return current_holder(simulation)
 
 
@@ -290,7 +290,7 @@
 
 def test_a_holder_paused_past_its_lease_is_rejected_by_the_fence_and_stops() -> None:
     victim = first_holder(3)
-    simulation, verdict = run_schedule(3, [Fault(3_000.0, 2_500.0, FaultKind.PAUSE, (victim,))])
+    simulation, verdict = run_faults(3, [Fault(3_000.0, 2_500.0, FaultKind.PAUSE, (victim,))])
     assert verdict.is_safe and verdict.max_gap_ms < 2_000.0
     rejected = [
         record for record in simulation.fence.records if record.holder == victim and not record.is_accepted
@@ -305,7 +305,7 @@
 def test_a_one_way_cut_in_either_direction_moves_the_lease_and_leaves_one_holder() -> None:
     for kind in (FaultKind.CUT_OUTBOUND, FaultKind.CUT_INBOUND):
         victim = first_holder(5)
-        simulation, verdict = run_schedule(5, [Fault(3_000.0, 4_000.0, kind, (victim,))])
+        simulation, verdict = run_faults(5, [Fault(3_000.0, 4_000.0, kind, (victim,))])
         assert verdict.is_safe and verdict.max_gap_ms < 2_500.0, (kind, verdict)
         holders = holders_between(simulation, 4_500.0, 7_000.0)
         assert holders and victim not in holders, (kind, holders)
@@ -314,14 +314,14 @@
 def test_the_minority_of_a_partition_has_no_holder_while_the_majority_elects_one() -> None:
     victim = first_holder(5)
     side = (victim, next(name for name in ("d0", "d1", "d2") if name != victim))
-    simulation, verdict = run_schedule(5, [Fault(3_000.0, 4_000.0, FaultKind.PARTITION, side)])
+    simulation, verdict = run_faults(5, [Fault(3_000.0, 4_000.0, FaultKind.PARTITION, side)])
     assert verdict.is_safe and verdict.max_gap_ms < 2_000.0
     holders = holders_between(simulation, 4_500.0, 7_000.0)
     assert holders and not holders & set(side)
 
 
 def test_without_a_majority_there_is_no_holder_and_one_is_elected_once_a_majority_returns() -> None:
-    simulation, verdict = run_schedule(
+    simulation, verdict = run_faults(
         5, [Fault(3_000.0, 3_000.0, FaultKind.KILL, ("d0", "d1", "d2"))], length_ms=10_000.0
     )
     assert verdict.is_safe
@@ -331,9 +331,9 @@
 
 def test_a_clean_stop_releases_the_lease_at_once_and_a_torn_grant_is_not_granted_twice() -> None:
     victim = first_holder(3)
-    _simulation, verdict = run_schedule(3, [Fault(3_000.0, 2_000.0, FaultKind.CLEAN_STOP, (victim,))])
+    _simulation, verdict = run_faults(3, [Fault(3_000.0, 2_000.0, FaultKind.CLEAN_STOP, (victim,))])
     assert verdict.is_safe and verdict.max_gap_ms < 500.0
-    _, torn = run_schedule(
+    _, torn = run_faults(
         3,
         [
             Fault(3_000.0, 500.0, FaultKind.TORN_GRANT, (victim,)),
@@ -354,7 +354,7 @@
 
 
 def run_seeds(seeds: range, fence_type: type[Fence]) -> list[Verdict]:
-    return [play(seed, 3 + 2 * (seed % 2), fence=fence_type()) for seed in seeds]
+    return [run_schedule(seed, 3 + 2 * (seed % 2), fence=fence_type()) for seed in seeds]
 
 
 def run_many_seeds(count: int, fence_type: type[Fence] = Fence) -> list[Verdict]:
@@ -376,6 +376,6 @@
 
 
 def test_clocks_at_the_drift_bound_do_not_allow_two_holders_but_do_so_without_the_margins() -> None:
-    assert all(play_skewed(seed).is_safe for seed in range(300))
+    assert all(run_with_skewed_clocks(seed).is_safe for seed in range(300))
     broken = LeaseConfig(stop_margin_ms=0.0, grant_margin_ms=0.0)
-    assert sum(play_skewed(seed, config=broken).overlaps > 0 for seed in range(300)) > 0
+    assert sum(run_with_skewed_clocks(seed, config=broken).overlaps > 0 for seed in range(300)) > 0
