--- a/gladewalk/store/disk_writes.py
+++ b/gladewalk/store/disk_writes.py
@@ -1,7 +1,7 @@
-"""The units of work that go to the disk: a batch of records, and a compacted segment.
+"""The units of work that are written to the disk: a batch of records, and a compacted segment.
 
-Both are prepared and completed by `SegmentedLog`; `write` may run in another thread, since it touches nothing
-but the file system.
+`SegmentedLog` prepares and completes both. `write` may run in another thread, since it uses nothing but the
+file system.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class WriteBatch:
-    """Records on their way to a segment, which begins with them if `new_header` is given."""
+    """Records to be appended to a segment; `new_header` is given if they are its first ones."""
 
     segment: int
     file: str
@@ -26,12 +26,14 @@
     is_synced: bool = True
 
     def write(self, file_system: FileSystem) -> None:
-        """Appends the records and, where `is_synced`, makes them durable. Raises `OSError`."""
+        """Appends the records and, if `is_synced`, makes them durable. Raises `OSError`."""
         if self.new_header is not None:
             file_system.create(self.file)
             file_system.append(self.file, self.new_header)
-            file_system.sync(self.file)  # so a torn header proves that no record was ever behind it
-            file_system.sync_directory()  # before anything in it is acknowledged
+            # The header is durable before any record is written: after a torn header there was no record.
+            file_system.sync(self.file)
+            # The file's name is durable before any of its records is acknowledged.
+            file_system.sync_directory()
         file_system.append(self.file, b"".join(self.encoded))
         if self.is_synced:
             file_system.sync(self.file)
@@ -41,8 +43,8 @@
 class Compaction:
     """A segment that replaces all segments up to `through_segment`.
 
-    A crash at any step leaves the replaced segments, or the new one beside some of them; recovery takes the
-    new one for all that it covers.
+    A crash at any step leaves either all replaced segments, or the new one and some of the replaced ones;
+    recovery then uses the new one in place of all segments that it covers.
     """
 
     through_segment: int
@@ -55,12 +57,12 @@
     replaced_files: list[str]
 
     def write(self, file_system: FileSystem) -> None:
-        """Writes the new segment beside the old ones and renames it into force. Raises `OSError`."""
+        """Writes the new segment to a temporary file and renames that to its final name. Raises `OSError`."""
         file_system.create(TEMPORARY_FILE)
         file_system.append(TEMPORARY_FILE, self.header + b"".join(self.encoded))
         file_system.sync(TEMPORARY_FILE)
         file_system.rename(TEMPORARY_FILE, self.file)
-        file_system.sync_directory()  # before anything that it replaces is removed
+        file_system.sync_directory()  # the new name is durable before any replaced file is removed
 
     def remove_replaced(self, file_system: FileSystem) -> None:
         """Removes the files of the replaced segments. Raises `OSError`."""
--- a/gladewalk/store/errors.py
+++ b/gladewalk/store/errors.py
@@ -6,11 +6,11 @@
 
 
 class StoreError(GladewalkError):
-    """Base of all errors that the store raises by itself; the file system's are `OSError`."""
+    """Base class of the store's own errors; those of the file system are `OSError`."""
 
 
 class StoreFileError(StoreError):
-    """A file of the store can't be used: names the file, the offset in bytes and the reason."""
+    """A file of the store can't be used; the error has the file, the offset in bytes and the reason."""
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
         super().__init__(f"{file}: at byte {offset}: {reason}")
@@ -30,11 +30,11 @@
 
 
 class StoreLockedError(StoreFileError):
-    """Another process holds the store's lock."""
+    """Another process holds the lock of the store's directory."""
 
 
 class StoreFullError(StoreError):
-    """Too many bytes already wait for a disk that accepts no writes; the change was not taken."""
+    """A change was rejected: too many bytes are pending already, as the disk rejects writes."""
 
 
 class PayloadTooLargeError(StoreError):
--- a/gladewalk/store/file_system.py
+++ b/gladewalk/store/file_system.py
@@ -1,4 +1,4 @@
-"""File system access of the store: the calls it makes of one directory, without any decision.
+"""File system access of the store: the calls on one directory, without any decision.
 
 Tests replace `FileSystem` by one that loses, tears and rejects writes (`rehearsal/faulty_disk.py`).
 """
@@ -17,38 +17,38 @@
 
 
 class FileSystem(Protocol):
-    """One directory. Every call may raise `OSError`; names are plain file names."""
+    """The calls on one directory. Every call may raise `OSError`; names are file names without a path."""
 
     def list_names(self) -> list[str]:
-        """The store's files in ascending order."""
+        """Returns the names of the store's files in ascending order."""
 
     def read(self, name: str) -> bytes:
-        """A file's content."""
+        """Returns a file's content."""
 
     def create(self, name: str) -> None:
-        """Creates an empty file in place of any other of this name."""
+        """Creates an empty file, replacing any file of this name."""
 
     def append(self, name: str, data: bytes) -> None:
         """Writes all of `data` at a file's end."""
 
     def sync(self, name: str) -> None:
-        """Makes all that was appended outlast a power loss; after a failure the content is unknown."""
+        """Makes all appended data durable; after an error it is unknown which of it is durable."""
 
     def truncate(self, name: str, size_bytes: int) -> None:
-        """Cuts a file to a size."""
+        """Truncates a file to a size."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, replacing any other of the new name."""
+        """Renames a file, replacing any file of the new name."""
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
 
     def sync_directory(self) -> None:
-        """Makes creations, renames and removals outlast a power loss."""
+        """Makes creations, renames and removals of files durable."""
 
 
 class StoreDirectory:
-    """A directory of the operating system, locked by one process at a time.
+    """A directory on disk, which one process at a time has locked.
 
     Raises `StoreLockedError` if another process holds the lock.
     """
@@ -65,17 +65,17 @@
             raise StoreLockedError(str(path), 0, "another process holds this store") from error
 
     def list_names(self) -> list[str]:
-        """The regular files but the lock, in ascending order."""
+        """Returns the names of the regular files except the lock, in ascending order."""
         return sorted(
             entry.name for entry in self.path.iterdir() if entry.is_file() and entry.name != LOCK_FILE
         )
 
     def read(self, name: str) -> bytes:
-        """A file's content."""
+        """Returns a file's content."""
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> None:
-        """Creates an empty file in place of any other of this name, and keeps it open."""
+        """Creates an empty file, replacing any file of this name, and keeps it open."""
         self._close_file(name)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         self._descriptors[name] = os.open(self.path / name, flags, _FILE_MODE)
@@ -91,16 +91,16 @@
         os.fsync(self._descriptor(name))
 
     def truncate(self, name: str, size_bytes: int) -> None:
-        """Cuts a file to a size."""
+        """Truncates a file to a size."""
         os.ftruncate(self._descriptor(name), size_bytes)
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, replacing any other of the new name."""
+        """Renames a file, replacing any file of the new name."""
         self._close_file(old)
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
         self._close_file(name)
         (self.path / name).unlink(missing_ok=True)
 
--- a/gladewalk/store/maintenance.py
+++ b/gladewalk/store/maintenance.py
@@ -1,7 +1,7 @@
 """Offline maintenance of a store that no process has open: check, dump, compact and repair.
 
-Each call locks the directory and raises `StoreLockedError` while a director has it open. `report` takes the
-lines that an operator reads.
+Each call locks the directory and raises `StoreLockedError` while a director has the store open. `report` is
+called with each line of output for the operator.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 
 def wall_clock_ms() -> float:
-    """Unix time in milliseconds."""
+    """Returns the Unix time in milliseconds."""
     return time.time() * 1000.0
 
 
 def check_store(path: Path, report: Report) -> ExitCode:
-    """Reports each file; `FINDINGS` for a torn write, `UNUSABLE` if anything acknowledged is lost."""
+    """Reports each file; `FINDINGS` means a torn write, `UNUSABLE` that an acknowledged record is lost."""
     with contextlib.closing(StoreDirectory(path)) as directory:
         try:
             files = _read_files(directory)
@@ -69,17 +69,17 @@
 
 def _summarize(found: RecoveredStore) -> str:
     total_bytes = sum(segment.size_bytes for segment in found.segments.values())
-    return f"{len(found.index.present())} keys in {len(found.segments)} segments of {total_bytes} bytes"
+    return f"{len(found.index.value_entries())} keys in {len(found.segments)} segments of {total_bytes} bytes"
 
 
 def dump_store(path: Path) -> Iterator[str]:
-    """Yields each key as one JSON object, values that aren't UTF-8 in hexadecimal.
+    """Yields each key as one JSON object; a value that isn't UTF-8 is in hexadecimal.
 
-    Raises what `recover_store` does.
+    Raises the errors of `recover_store`.
     """
     with contextlib.closing(StoreDirectory(path)) as directory:
         found = recover_store(_read_files(directory))
-    for _, entry in sorted(found.index.entries.items(), key=lambda slot_and_entry: slot_and_entry[0]):
+    for _, entry in sorted(found.index.entries.items(), key=lambda key_and_entry: key_and_entry[0]):
         if not entry.is_deleted:
             yield json.dumps(_dump_row(entry))
 
@@ -97,7 +97,7 @@
 
 
 def compact_store(path: Path, report: Report) -> ExitCode:
-    """Rewrites all segments into one; `UNUSABLE` for a damaged store."""
+    """Rewrites all segments into one; returns `UNUSABLE` for a damaged store."""
     with contextlib.closing(StoreDirectory(path)) as directory:
         try:
             log = SegmentedLog(directory, wall_clock_ms)
@@ -113,9 +113,9 @@
 
 
 def repair_store(path: Path, is_loss_accepted: bool, report: Report) -> ExitCode:
-    """Reports what a damaged store still holds; if `is_loss_accepted`, makes a store of it.
+    """Reports the readable part of a damaged store; if `is_loss_accepted`, makes a new store of it.
 
-    The old files stay in a directory beside the new ones.
+    The old files are moved into a directory within the store's directory.
     """
     with contextlib.closing(StoreDirectory(path)) as directory:
         files = _read_files(directory)
@@ -129,20 +129,20 @@
         salvaged = salvage_records(files)
         for loss in salvaged.losses:
             report(loss)
-        entries = salvaged.index.present()
+        entries = salvaged.index.value_entries()
         consequence = "a key whose last record is lost has an older value"
         report(f"{salvaged.record_count} whole records, {len(entries)} keys; {consequence}")
         if not is_loss_accepted:
             report("nothing was changed; --accept-loss makes a store of what is left")
             return ExitCode.FINDINGS
-        moved_to = _move_aside(directory, list(files))
+        damaged_directory = _move_to_damaged_directory(directory, list(files))
         _write_entries(directory, entries)
-        report(f"a store of {len(entries)} keys; the old files are in {moved_to}")
+        report(f"a store of {len(entries)} keys; the old files are in {damaged_directory}")
         return ExitCode.FINDINGS
 
 
-def _move_aside(directory: StoreDirectory, names: list[str]) -> Path:
-    """Moves files into the first free `damaged-N` directory."""
+def _move_to_damaged_directory(directory: StoreDirectory, names: list[str]) -> Path:
+    """Moves files into the first `damaged-N` directory that doesn't exist yet, and returns its path."""
     candidates = (directory.path / f"damaged-{number}" for number in range(MAX_SALVAGE_DIRECTORIES))
     target = next(candidate for candidate in candidates if not candidate.exists())
     target.mkdir()
@@ -153,7 +153,7 @@
 
 
 def _write_entries(directory: StoreDirectory, entries: list[IndexEntry]) -> None:
-    """Writes entries one commit each, so that their number has no bound by what may be pending."""
+    """Writes each entry in a commit of its own: the limit on pending bytes doesn't limit their number."""
     log = SegmentedLog(directory, wall_clock_ms)
     for entry in entries:
         key_value = entry.key_value
--- a/gladewalk/store/record_format.py
+++ b/gladewalk/store/record_format.py
@@ -4,10 +4,10 @@
              record count (8)  CRC32C (4)
     record:  marker (2)  kind (1)  payload length (4)  sequence (8)  durable sequence (8)  CRC32C (4)  payload
 
-Sizes in bytes, all integers little-endian. A CRC32C (RFC 3720, appendix B.4) covers everything before it and,
-for a record, the payload. `durable sequence` is the highest sequence known to be on the disk when the record
-was written, `first sequence` the one at which a segment's records begin: from these two, `recovery` tells the
-loss of an acknowledged record from that of an unacknowledged one.
+Sizes are in bytes, and all integers are little-endian. A CRC32C (RFC 3720, appendix B.4) covers everything
+before it and, for a record, the payload. `durable sequence` is the highest sequence number that was known to
+be durable when the record was written, and `first sequence` is that of a segment's first record. With these
+two `recovery` distinguishes the loss of an acknowledged record from that of an unacknowledged one.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from .errors import PayloadTooLargeError, SegmentHeaderError, UnsupportedFormatError
 
 MAGIC = b"GLWSTORE"
-FORMAT_VERSION = 1  # of new segments; old ones keep theirs until a compaction rewrites them
+FORMAT_VERSION = 1  # of new segments; an older segment keeps its version until a compaction rewrites it
 READABLE_VERSIONS = frozenset((1,))
 HEADER = struct.Struct("<8sHHQQQQI")
 RECORD = struct.Struct("<2sBIQQI")
@@ -32,11 +32,11 @@
 _HEADER_WITHOUT_CRC = struct.Struct("<8sHHQQQQ")
 _RECORD_WITHOUT_CRC = struct.Struct("<2sBIQQ")
 _CRC = struct.Struct("<I")
-_VERSION_OFFSET = 8  # behind the magic
+_VERSION_OFFSET = 8  # of the version in the header, after the magic
 
 
 class RecordKind(IntEnum):
-    """What a record does to its key; the value is stored."""
+    """What a record does to its key; the numbers are part of the file format."""
 
     PUT = 1
     DELETE = 2
@@ -49,9 +49,9 @@
 class SegmentHeader:
     """A segment's header.
 
-    A compacted segment replaces all segments up to `covers_through`, holds `record_count` records, and
-    `first_sequence` is the one that follows everything it replaces. A plain segment has `covers_through` 0,
-    and its records begin at `first_sequence`.
+    A compacted segment replaces all segments up to `covers_through` and has `record_count` records; its
+    `first_sequence` is the sequence number after all records that it replaces. A plain segment has
+    `covers_through` 0, and `first_sequence` is that of its first record.
     """
 
     number: int
@@ -61,12 +61,12 @@
 
     @property
     def is_compacted(self) -> bool:
-        """Whether the segment replaces older ones."""
+        """Whether the segment replaces older segments."""
         return self.covers_through != 0
 
 
 class Record(NamedTuple):
-    """One change of a key. `kind` is a `RecordKind`, as the stored integer."""
+    """One change of a key. `kind` is the stored integer of a `RecordKind`."""
 
     kind: int
     sequence: int
@@ -75,7 +75,7 @@
 
 
 class LocatedRecord(NamedTuple):
-    """A record and the offset in its file behind it."""
+    """A record and the offset in its file at which it ends."""
 
     record: Record
     end_offset: int
@@ -83,13 +83,13 @@
 
 @dataclass(slots=True)
 class SegmentScan:
-    """What a segment holds up to the first record that can't be read."""
+    """The records of a segment up to the first one that can't be read."""
 
     header: SegmentHeader
     records: list[LocatedRecord]
     valid_bytes: int
-    dropped_bytes: int  # behind the valid ones
-    durable_sequence_in_dropped: int  # the highest that a valid record among these names; 0: none is there
+    dropped_bytes: int  # all bytes after the valid ones
+    durable_sequence_in_dropped: int  # the highest in valid records among the dropped bytes; 0 without any
 
 
 def encode_header(header: SegmentHeader) -> bytes:
@@ -102,7 +102,7 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Encodes a record. Raises `PayloadTooLargeError` for a payload over `MAX_PAYLOAD_BYTES`."""
+    """Encodes a record. Raises `PayloadTooLargeError` if its payload exceeds `MAX_PAYLOAD_BYTES`."""
     if len(record.payload) > MAX_PAYLOAD_BYTES:
         raise PayloadTooLargeError(f"a payload of {len(record.payload)} bytes")
     body = _RECORD_WITHOUT_CRC.pack(
@@ -114,15 +114,15 @@
 def decode_header(data: bytes, file: str) -> SegmentHeader | None:
     """Decodes a segment's header; None if the file ends within it.
 
-    Raises `SegmentHeaderError` if it is corrupt, `UnsupportedFormatError` for an unknown version.
+    Raises `SegmentHeaderError` if the header is corrupt, `UnsupportedFormatError` for an unknown version.
     """
     if len(data) < HEADER.size:
         if not MAGIC.startswith(data[: len(MAGIC)]):
-            raise SegmentHeaderError(file, 0, "no segment of a store")
+            raise SegmentHeaderError(file, 0, "not a segment of a store")
         return None
     magic, version, _, number, covers_through, first_sequence, record_count, crc = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise SegmentHeaderError(file, 0, "no segment of a store")
+        raise SegmentHeaderError(file, 0, "not a segment of a store")
     if crc32c.crc32c(data[: _HEADER_WITHOUT_CRC.size]) != crc:
         raise SegmentHeaderError(file, 0, "its header is spoilt")
     if version not in READABLE_VERSIONS:
@@ -133,7 +133,7 @@
 
 
 def decode_record(data: bytes, offset: int) -> LocatedRecord | None:
-    """Decodes the record at an offset; None if there is no complete, valid one."""
+    """Decodes the record at an offset; None if there is no complete and valid record."""
     if offset + RECORD.size > len(data):
         return None
     marker, kind, length, sequence, durable_sequence, crc = RECORD.unpack_from(data, offset)
@@ -150,21 +150,21 @@
 
 
 def find_records_after(data: bytes, offset: int) -> Iterator[Record]:
-    """Yields the valid records anywhere behind a corrupt one, found by their marker."""
-    place = data.find(RECORD_MARKER, offset + 1) if offset < len(data) else -1
-    while place >= 0:
-        found = decode_record(data, place)
+    """Yields all valid records after a corrupt one, which are found by their marker."""
+    marker_offset = data.find(RECORD_MARKER, offset + 1) if offset < len(data) else -1
+    while marker_offset >= 0:
+        found = decode_record(data, marker_offset)
         if found is None:
-            place = data.find(RECORD_MARKER, place + 1)
+            marker_offset = data.find(RECORD_MARKER, marker_offset + 1)
         else:
             yield found.record
-            place = data.find(RECORD_MARKER, found.end_offset)
+            marker_offset = data.find(RECORD_MARKER, found.end_offset)
 
 
 def scan_segment(data: bytes, file: str) -> SegmentScan | None:
-    """Reads a segment's records in order up to the first invalid one; None if it ends within its header.
+    """Reads a segment's records up to the first invalid one; None if the file ends within its header.
 
-    Raises what `decode_header` does.
+    Raises the errors of `decode_header`.
     """
     header = decode_header(data, file)
     if header is None:
--- a/gladewalk/store/recovery.py
+++ b/gladewalk/store/recovery.py
@@ -1,14 +1,14 @@
-"""Recovers a store from the bytes of its files, and salvages what it can of a damaged one. No I/O.
+"""Recovers a store from the bytes of its files, and salvages readable records of a damaged one. No I/O.
 
-Sequences run without a gap, and each plain segment names the one at which its records begin. So of a segment
-that ends early or holds a corrupt record it is known whether anything acknowledged is missing:
+Sequence numbers have no gaps, and each plain segment's header has that of its first record. So if a segment
+ends early or has a corrupt record, recovery can determine whether an acknowledged record is missing:
 
-- If no record behind the corruption names a sequence there as durable, and the next segment begins where the
-  valid part ends, the loss was never acknowledged: a torn write, or one that the disk rejected and that was
-  written again elsewhere. It is dropped and listed.
-- Otherwise an acknowledged record is lost, and recovery raises the file and the offset.
+- No acknowledged record is missing if no later record has a durable sequence number within the corrupt part,
+  and the next segment begins where the valid part ends. The corrupt bytes are from a torn write, or from a
+  write that the disk rejected and that was repeated in another segment. They are dropped and listed.
+- Otherwise an acknowledged record is lost, and recovery raises an error with the file and the offset.
 
-A compacted segment replaces all segments up to its number, whether their files are still there or not.
+A compacted segment replaces all segments up to its number, even if their files still exist.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 def segment_file_name(number: int, is_compacted: bool = False) -> str:
-    """The file name of a segment; a compacted one never has the name of a plain one that it replaces."""
+    """Returns a segment's file name; a compacted and a plain segment of one number have different names."""
     return f"{number:016x}{'.c' if is_compacted else ''}.seg"
 
 
 @dataclass(slots=True)
 class Segment:
-    """A segment in force: its file, its valid bytes and the sequence at which its records begin."""
+    """A segment in use: its file, its valid bytes and the sequence number of its first record."""
 
     number: int
     file: str
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class RecoveredStore:
-    """What the files hold: all keys, the segments in force in ascending order, and what may be removed."""
+    """The content of the files: all keys, the segments in use in ascending order, and obsolete files."""
 
     index: KeyIndex = field(default_factory=KeyIndex)
     segments: dict[int, Segment] = field(default_factory=dict)
@@ -60,7 +60,7 @@
 
     @property
     def newest(self) -> Segment | None:
-        """The newest segment in force, which has to be synced before anything builds on it."""
+        """The newest segment in use, which has to be synced before any further record is written."""
         return self.segments[max(self.segments)] if self.segments else None
 
 
@@ -72,67 +72,67 @@
 
 
 def recover_store(files: Mapping[str, bytes]) -> RecoveredStore:
-    """Recovers a store from its files' bytes by name.
+    """Recovers a store from the content of its files, which are given by name.
 
     Raises `AcknowledgedLossError` if an acknowledged record is lost, `SegmentHeaderError` or
-    `UnsupportedFormatError` if a file can't be read at all.
+    `UnsupportedFormatError` if a file can't be read.
     """
-    found = RecoveredStore()
-    segment_files = _select_files(files, found)
+    recovered = RecoveredStore()
+    segment_files = _select_files(files, recovered)
     sequence = 0
     for file in segment_files:
-        scan = _scan(file, files[file.name], found)
+        scan = _scan(file, files[file.name], recovered)
         if scan is not None:
-            sequence = _add_segment(found, file, scan, sequence)
-    found.index.last_sequence = max(found.index.last_sequence, sequence)
-    return found
+            sequence = _add_segment(recovered, file, scan, sequence)
+    recovered.index.last_sequence = max(recovered.index.last_sequence, sequence)
+    return recovered
 
 
-def _select_files(files: Mapping[str, bytes], found: RecoveredStore) -> list[_SegmentFile]:
-    """The segments in force, in ascending order; all other files are listed as obsolete."""
+def _select_files(files: Mapping[str, bytes], recovered: RecoveredStore) -> list[_SegmentFile]:
+    """Returns the segments in use, in ascending order; lists all other files as obsolete."""
     segment_files: list[_SegmentFile] = []
     for name in sorted(files):
         match = SEGMENT_FILE.match(name)
         if match is None:
-            found.obsolete_files.append(name)  # a compaction that was interrupted
+            recovered.obsolete_files.append(name)  # left by an interrupted compaction
         else:
             segment_files.append(_SegmentFile(int(match[1], 16), match[2] is not None, name))
     covered = max((file.number for file in segment_files if file.is_compacted), default=0)
-    found.next_number = max((file.number for file in segment_files), default=0) + 1
-    in_force = []
+    recovered.next_number = max((file.number for file in segment_files), default=0) + 1
+    segments_in_use = []
     for file in sorted(segment_files):
         if file.number > covered or (file.number == covered and file.is_compacted):
-            in_force.append(file)
+            segments_in_use.append(file)
         else:
-            found.obsolete_files.append(file.name)
-    return in_force
+            recovered.obsolete_files.append(file.name)
+    return segments_in_use
 
 
-def _scan(file: _SegmentFile, data: bytes, found: RecoveredStore) -> SegmentScan | None:
-    """Scans a segment; None, and dropped, if its creation was interrupted."""
+def _scan(file: _SegmentFile, data: bytes, recovered: RecoveredStore) -> SegmentScan | None:
+    """Scans a segment; returns None and drops it if its creation was interrupted."""
     scan = None
     try:
         scan = scan_segment(data, file.name)
     except SegmentHeaderError:
-        # A header is durable before any record is written behind it: with one there, it was valid once.
+        # A header is durable before any record is written: if there are records, the header was valid once.
         if file.is_compacted or any(find_records_after(data, -1)):
             raise
     if scan is None and file.is_compacted:
-        raise AcknowledgedLossError(file.name, len(data), "ends within its header, and stands for others")
+        raise AcknowledgedLossError(file.name, len(data), "ends within its header, but replaces others")
     if scan is None:  # the next segment's first sequence shows whether anything is missing
-        found.dropped.append(DroppedTail(file.name, 0, len(data)))
-        found.obsolete_files.append(file.name)
+        recovered.dropped.append(DroppedTail(file.name, 0, len(data)))
+        recovered.obsolete_files.append(file.name)
     return scan
 
 
-def _add_segment(found: RecoveredStore, file: _SegmentFile, scan: SegmentScan, sequence: int) -> int:
-    """Applies a segment's records behind those up to `sequence`; returns the highest sequence known now."""
+def _add_segment(recovered: RecoveredStore, file: _SegmentFile, scan: SegmentScan, sequence: int) -> int:
+    """Applies a segment's records after `sequence`; returns the highest sequence number so far."""
     header = scan.header
-    _check_header(found, file, scan, sequence)
+    _check_header(recovered, file, scan, sequence)
     offset = 0
     for record, end in scan.records:
         change = Change(record, decode_key_value(record, file.name, offset))
-        found.index.apply(change, file.number, end - offset)
+        recovered.index.apply(change, file.number, end - offset)
         sequence = max(sequence, record.sequence)
         offset = end
     if file.is_compacted:
@@ -141,14 +141,14 @@
         reason = f"a bad record that was acknowledged: {scan.durable_sequence_in_dropped} was on the disk"
         raise AcknowledgedLossError(file.name, scan.valid_bytes, reason)
     if scan.dropped_bytes:
-        found.dropped.append(DroppedTail(file.name, scan.valid_bytes, scan.dropped_bytes))
-    found.segments[file.number] = Segment(file.number, file.name, scan.valid_bytes, header.first_sequence)
+        recovered.dropped.append(DroppedTail(file.name, scan.valid_bytes, scan.dropped_bytes))
+    recovered.segments[file.number] = Segment(file.number, file.name, scan.valid_bytes, header.first_sequence)
     return sequence
 
 
-def _check_header(found: RecoveredStore, file: _SegmentFile, scan: SegmentScan, sequence: int) -> None:
-    """Raises if the segment isn't the one that its name says, or if records before or in it are missing."""
-    header, previous = scan.header, found.newest
+def _check_header(recovered: RecoveredStore, file: _SegmentFile, scan: SegmentScan, sequence: int) -> None:
+    """Raises an error if header and file name differ, or if records before or in the segment are missing."""
+    header, previous = scan.header, recovered.newest
     if header.number != file.number or header.is_compacted != file.is_compacted:
         raise SegmentHeaderError(file.name, 0, f"its header says that it is segment {header.number}")
     if not file.is_compacted and header.first_sequence > sequence + 1:
@@ -162,7 +162,7 @@
 
 
 def describe_header(data: bytes, file: str) -> str:
-    """A segment's header as text for operators. Raises what `decode_header` does."""
+    """Returns a segment's header as text for operators. Raises the errors of `decode_header`."""
     header = decode_header(data, file)
     if header is None:
         return "ends within its header"
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True)
 class SalvagedRecords:
-    """All that can still be read of a damaged store, and one line for each place where something can't."""
+    """The readable records of a damaged store, and one line of text for each loss."""
 
     index: KeyIndex = field(default_factory=KeyIndex)
     record_count: int = 0
@@ -186,26 +186,26 @@
 
 
 def salvage_records(files: Mapping[str, bytes]) -> SalvagedRecords:
-    """Reads every valid record, wherever it lies, and lists each loss.
+    """Reads every valid record, also after corrupt ones, and lists each loss.
 
-    A key whose last record is lost gets its older value back; whether that is acceptable is for an operator
-    to decide.
+    A key whose last record is lost gets an older value back; the operator has to decide whether that is
+    acceptable.
     """
-    found = SalvagedRecords()
+    salvaged = SalvagedRecords()
     for file in sorted(name for name in files if SEGMENT_FILE.match(name)):
-        for record in _readable_records(files[file], file, found.losses):
+        for record in _readable_records(files[file], file, salvaged.losses):
             try:
                 change = Change(record, decode_key_value(record, file, 0))
             except StoreFileError as error:
-                found.losses.append(str(error))
+                salvaged.losses.append(str(error))
                 continue
-            found.index.apply(change, 0, 0)
-            found.record_count += 1
-    return found
+            salvaged.index.apply(change, 0, 0)
+            salvaged.record_count += 1
+    return salvaged
 
 
 def _readable_records(data: bytes, file: str, losses: list[str]) -> list[Record]:
-    """The valid records of one segment, also behind corrupt ones; adds what is lost to `losses`."""
+    """Returns the valid records of one segment, also after corrupt ones; adds each loss to `losses`."""
     try:
         scan = scan_segment(data, file)
     except StoreFileError as error:
@@ -215,8 +215,8 @@
         return list(find_records_after(data, 0))
     records = [located.record for located in scan.records]
     if scan.dropped_bytes:
-        behind = list(find_records_after(data, scan.valid_bytes))
-        rest = f"{scan.dropped_bytes} bytes can't be read, {len(behind)} whole records behind them"
-        losses.append(f"{file}: at byte {scan.valid_bytes}: {rest}")
-        records += behind
+        later_records = list(find_records_after(data, scan.valid_bytes))
+        loss = f"{scan.dropped_bytes} bytes can't be read, {len(later_records)} whole records behind them"
+        losses.append(f"{file}: at byte {scan.valid_bytes}: {loss}")
+        records += later_records
     return records
