--- a/gladewalk/store/dns_lease_rows.py
+++ b/gladewalk/store/dns_lease_rows.py
@@ -1,8 +1,8 @@
-"""Rows of DNS leases: which resolver may hold which answer until when, over a restart. No I/O.
+"""Stored rows of DNS leases: which resolver may cache which answer until when. No I/O.
 
-Leases bound how many resolvers may send to a server that is warming up, whichever run gave the answer. An
-answer leaves once its lease is durable: else a director that restarts would name the server again to as many
-resolvers as before.
+Leases limit how many resolvers may send requests to a server that is warming up, and the limit includes the
+answers of earlier runs of the director. An answer is sent only after its lease is durable: otherwise a
+director could, after a restart, name the server to as many resolvers again.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ..policy.dns_placement import DNS_LEASE_MS
 
 LEASE_SPACE = "lease"
-MAX_WEIGHT = 1e9  # transfers at a time; a stored weight from here on is none
+MAX_WEIGHT = 1e9  # concurrent transfers; a stored lease of this weight or more is invalid
 
 
 class DnsLease(msgspec.Struct, frozen=True, array_like=True):
     """`holder` may use the answer that names `place` for part `part` of object `key` until `expires_at_ms`.
 
-    `weight` is how many transfers at a time the answer may bring to the place.
+    `weight` is how many concurrent transfers the answer may cause at the place.
     """
 
     place: str
@@ -32,7 +32,7 @@
 
     @property
     def row_key(self) -> str:
-        """The row's key, one for each place, holder, object and part."""
+        """The row's key, which is unique for each place, holder, object and part."""
         return f"{self.place}|{self.holder}|{self.key:x}.{self.part}"
 
 
@@ -41,15 +41,15 @@
 
 
 def find_lease(core: Dispatcher, question: api.ResolveRequest, server: str) -> DnsLease | None:
-    """The lease that the policy module has counted for an answer; None if there is none."""
-    known = core.state.registry.servers.get(server)
-    if known is None or core.state.dns_leases is None:
+    """Returns the lease that the policy module has counted for an answer; None if there is none."""
+    server_record = core.state.registry.servers.get(server)
+    if server_record is None or core.state.dns_leases is None:
         return None
-    place = known.address
-    held = core.state.dns_leases.find(place, question.resolver, (question.key, question.part))
-    if held is None:
+    place = server_record.address
+    expiry_and_weight = core.state.dns_leases.find(place, question.resolver, (question.key, question.part))
+    if expiry_and_weight is None:
         return None
-    return DnsLease(place, question.resolver, question.key, question.part, *held)
+    return DnsLease(place, question.resolver, question.key, question.part, *expiry_and_weight)
 
 
 def encode_lease(lease: DnsLease) -> bytes:
@@ -58,9 +58,10 @@
 
 
 def restore_leases(core: Dispatcher, rows: dict[str, bytes], now_ms: float) -> int:
-    """Counts the stored leases that are still in force into the policy module; returns how many.
+    """Adds the stored leases that have not expired to the policy module; returns how many.
 
-    An expiry too far ahead is cut to the longest lease. Rows of another version are skipped.
+    An expiry further ahead than the longest lease is reduced to that. Rows that another version wrote, and
+    that can't be decoded, are skipped.
     """
     count = 0
     for value in rows.values():
--- a/gladewalk/store/persistence.py
+++ b/gladewalk/store/persistence.py
@@ -1,7 +1,7 @@
-"""Persistence service of a director: stores what has to outlast a restart, and restores it at the next start.
+"""Persistence service of a director: stores state across a restart, and restores it at the next start.
 
-It follows the coordinator's feed (purges, endpoints), the DNS front (leases) and, one partition at a time,
-what the policy module has learned.
+The service stores purges and endpoints from the coordinator's feed, leases from the DNS front and, one
+partition at a time, a snapshot of the policy module's estimates.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 class PersistenceService:
     """One director's store.
 
-    Raises `ConfigError`, which names the setting, if the store is damaged or another process holds it.
+    Raises `ConfigError`, which names the setting, if the store is damaged or another process has it open.
     `settle_ms` is how long a purge takes to settle, `clock` returns Unix milliseconds, and `log_event` takes
     an event's name and its reason.
     """
@@ -50,8 +50,9 @@
         self._settle_ms, self._clock, self._counters, self._deadlines = settle_ms, clock, counters, deadlines
         self._exchange: Exchange | None = None
         self._snapshot_interval_ms, self._partition = table.snapshot_interval_ms, -1
-        self._is_resumed, self._position = table.resumes_feed, FeedPosition(0)
-        self._has_lost_row = False  # the disk rejected a row of the feed, so its position stands still
+        self._resumes_feed, self._position = table.resumes_feed, FeedPosition(0)
+        # Whether the disk has rejected a row of the feed: from then on the stored position doesn't advance.
+        self._has_rejected_row = False
         path = options.resolve_path(table.folder)
         try:
             self.directory = StoreDirectory(path)
@@ -60,11 +61,11 @@
         except (StoreFileError, OSError) as error:
             raise ConfigError(f"{options.path}: store.folder: {error}") from error
         for tail in self.log.recovered.dropped:
-            log_event(TORN_WRITE_EVENT, _describe(tail))
+            log_event(TORN_WRITE_EVENT, _describe_dropped_tail(tail))
         self.writer = StoreWriter(self.log, table.policy, table.group_commit_ms, counters, log_event)
 
     def restore(self, feed: EndpointFeed) -> None:
-        """Restores what the last run knew into the feed and the policy module, before anything is served."""
+        """Restores the last run's state into the feed and the policy module, before any request is served."""
         now_ms = self._clock()
         purges = row_codecs.decode_purges(self.log.items(PURGE_SPACE), now_ms)
         for purge in purges:
@@ -80,12 +81,12 @@
         self._counters.add("store.sources_restored", restored.servers)
 
     def _restore_servers(self, feed: EndpointFeed) -> int:
-        """Feeds the stored endpoints as an event of the feed; returns how many."""
-        if self._is_resumed:
+        """Applies the stored endpoints as one event of the feed; returns how many."""
+        if self._resumes_feed:
             self._position = row_codecs.decode_position(self.log.items(FEED_SPACE))
         full_list_index = self._position.full_list_index
         if full_list_index <= feed.last_index:
-            full_list_index = 0  # the configuration's list is newer
+            full_list_index = 0  # the endpoint list of the configuration is newer
         endpoints = row_codecs.decode_servers(self.log.items(SERVER_SPACE), feed.last_index, full_list_index)
         if endpoints:
             feed.apply_event({"endpoints": {"all": bool(full_list_index), "targets": endpoints}})
@@ -93,7 +94,7 @@
         return len(endpoints)
 
     def start(self, feed: EndpointFeed) -> None:
-        """Starts the writer, and follows the feed and the answers of the DNS front from here on."""
+        """Starts the writer, and from now on stores events of the feed and leases of the DNS front."""
         self.writer.start()
         feed.on_event, self._exchange = self.record_event, feed.exchange
         feed.exchange.resolutions.persist = self.record_leases
@@ -101,14 +102,14 @@
             self._record_partition(feed.exchange.dispatcher)
 
     async def close(self) -> None:
-        """Writes what is pending and releases the directory."""
+        """Writes the pending changes and closes the directory."""
         await self.writer.close()
         self.directory.close()
 
     def record_leases(
-        self, question: api.ResolveRequest, servers: Sequence[str], then: Callable[[], None]
+        self, question: api.ResolveRequest, servers: Sequence[str], on_done: Callable[[], None]
     ) -> None:
-        """Stores the leases of an answer, and calls `then` once they are durable or can't become so."""
+        """Stores the leases of an answer, and calls `on_done` once they are durable or were rejected."""
         assert self._exchange is not None
         acknowledgements = []
         for server in servers:
@@ -117,28 +118,28 @@
                 row = Row(LEASE_SPACE, lease.row_key, encode_lease(lease), lease.expires_at_ms)
                 acknowledgements.append(self._write(row))
         if not acknowledgements:
-            return then()
-        asyncio.gather(*acknowledgements).add_done_callback(lambda _: then())
+            return on_done()
+        asyncio.gather(*acknowledgements).add_done_callback(lambda _: on_done())
 
     def record_event(self, event_index: int, event: dict[str, Any]) -> None:
         """Stores a valid event of the feed."""
-        rows = row_codecs.encode_event(event_index, event, self._settle_ms, self._clock(), self._is_resumed)
-        if self._is_resumed and row_codecs.has_full_list(event):
+        rows = row_codecs.encode_event(event_index, event, self._settle_ms, self._clock(), self._resumes_feed)
+        if self._resumes_feed and row_codecs.has_full_list(event):
             rows += row_codecs.delete_unlisted(event, self.log.items(SERVER_SPACE))
         acknowledgements = [self._write(row) for row in rows]
-        if not self._is_resumed:
+        if not self._resumes_feed:
             return
-        # A rejected row must be requested again after a restart: from here on the position stands still.
+        # The position stays as it is from now on, so that a rejected row is requested again after a restart.
         if any(future.done() and not future.result() for future in acknowledgements):
-            self._has_lost_row = True
-        if self._has_lost_row:
+            self._has_rejected_row = True
+        if self._has_rejected_row:
             self._counters.add("store.position_held")
             return
         self._position = row_codecs.next_position(event_index, event, self._position)
         self._write(row_codecs.encode_position(self._position))
 
     def _record_partition(self, core: Dispatcher) -> None:
-        """Stores one partition of what was learned, after the last one the servers; the next comes later."""
+        """Stores the next partition, or after the last one the servers; schedules the one after it."""
         now_ms = self._clock()
         self._partition = (self._partition + 1) % (warm_start.PARTITION_COUNT + 1)
         if self._partition == warm_start.PARTITION_COUNT:
@@ -158,7 +159,7 @@
         return self.writer.put(row.space, row.key, row.value, row.expires_at_ms)
 
     def status(self) -> StoreStatus:
-        """What is stored now, for the control socket."""
+        """Returns the state of the store, for the control socket."""
         log = self.log
         durable_purges = [
             key
@@ -179,5 +180,5 @@
         )
 
 
-def _describe(tail: DroppedTail) -> str:
+def _describe_dropped_tail(tail: DroppedTail) -> str:
     return f"{tail.file}: at byte {tail.offset}: {tail.size_bytes} bytes, never acknowledged"
--- a/gladewalk/store/row_codecs.py
+++ b/gladewalk/store/row_codecs.py
@@ -1,13 +1,14 @@
-"""Row codecs: what of a director's state is stored, how, and how far it counts after a restart. No I/O.
+"""Row codecs: which state of a director is stored, in which form, and when it is restored. No I/O.
 
     space     key                 value                       expires
-    purge     o:OBJECT, g:GROUP   when, Unix ms               once settled, and older locations have faded
+    purge     o:OBJECT, g:GROUP   time of it, Unix ms         once settled, and older locations have expired
     server    uid                 event number, endpoint      after a day; with `resume` once unlisted
-    feed      last                the last event's number     never (with `resume` alone)
+    feed      last                the last event's number     never (only stored with `resume`)
 
-A stored server counts only where its event is later than those that the configuration already has: the
-coordinator's feed continues from there and has the last word. With `resume` the feed is requested only from
-the last event on: for coordinators whose event numbers outlast a director, and whose log need not.
+A stored server is restored only if its event is later than those that the configuration includes; the
+coordinator's feed continues from that event and overrides what was restored. With `resume` the feed is only
+requested from the last event on. This setting is for coordinators whose event numbers continue while a
+director restarts, and which need not keep older events.
 """
 
 from __future__ import annotations
@@ -24,9 +25,10 @@
 PURGE_SPACE, SERVER_SPACE, FEED_SPACE = "purge", "server", "feed"
 FEED_POSITION_KEY = "last"
 OBJECT_PREFIX, GROUP_PREFIX = "o:", "g:"
-NO_GROUP = -1  # of a purge of everything
-PURGE_MARGIN_MS = 1_000.0  # purges are remembered so much longer than they take to settle
-MAX_LOCATION_AGE_MS = 30_000.0  # of a remembered holder: one seen before a purge must not outlast it
+NO_GROUP = -1  # the group of a purge of all objects
+PURGE_MARGIN_MS = 1_000.0  # a purge is stored for this much longer than it takes to settle
+# How long a holder's location is kept. A purge is stored at least as long: no older location outlasts it.
+MAX_LOCATION_AGE_MS = 30_000.0
 SERVER_LIFETIME_MS = 86_400_000.0
 LISTED_STATES = frozenset(
     name for name, state in ENDPOINT_STATES.items() if state is not api.ServerState.GONE
@@ -34,14 +36,14 @@
 
 
 class ServerRow(msgspec.Struct, frozen=True, array_like=True):
-    """A server's entry in the endpoint list, as the event of this number had it."""
+    """A server's entry in the endpoint list, from the event of number `event_index`."""
 
     event_index: int
     endpoint: dict[str, Any]
 
 
 class FeedPosition(msgspec.Struct, frozen=True, array_like=True):
-    """The last event that was followed, and the last one with the full endpoint list (0: none)."""
+    """The number of the last applied event, and of the last one with the full endpoint list (0: none)."""
 
     event_index: int
     full_list_index: int = 0
@@ -63,19 +65,19 @@
 
 
 def encode_event(
-    event_index: int, event: Mapping[str, Any], settle_ms: float, now_ms: float, is_resumed: bool = False
+    event_index: int, event: Mapping[str, Any], settle_ms: float, now_ms: float, resumes_feed: bool = False
 ) -> list[Row]:
-    """The rows of a valid event of the feed: its purge and its endpoints.
+    """Returns the rows of a valid event of the feed: its purge and its endpoints.
 
-    `settle_ms` is how long a purge takes to settle. With `is_resumed` the feed won't repeat a server, which
-    is stored for as long as it is listed.
+    `settle_ms` is how long a purge takes to settle. With `resumes_feed` the feed doesn't send a server again
+    after a restart, so that a server is stored for as long as it is listed.
     """
     rows = []
     if "evict" in event:
         rows.append(_encode_purge(event["evict"], settle_ms, now_ms))
     if "endpoints" in event:
         for endpoint in event["endpoints"]["targets"]:
-            is_kept = is_resumed and endpoint.get("state") in LISTED_STATES
+            is_kept = resumes_feed and endpoint.get("state") in LISTED_STATES
             expires_at_ms = NEVER_EXPIRES if is_kept else now_ms + SERVER_LIFETIME_MS
             value = _encoder.encode(ServerRow(event_index, dict(endpoint)))
             rows.append(Row(SERVER_SPACE, str(endpoint["uid"]), value, expires_at_ms))
@@ -93,28 +95,28 @@
 
 
 def has_full_list(event: Mapping[str, Any]) -> bool:
-    """Whether an event carries the full endpoint list."""
+    """Returns whether an event has the full endpoint list."""
     return bool(event.get("endpoints", {}).get("all"))
 
 
 def delete_unlisted(event: Mapping[str, Any], stored: Iterable[str]) -> list[Row]:
-    """Deletions of the stored servers that a full endpoint list no longer has."""
+    """Returns deletions of the stored servers that are not in an event's full endpoint list."""
     listed = {str(endpoint["uid"]) for endpoint in event["endpoints"]["targets"]}
     return [Row(SERVER_SPACE, uid, None) for uid in stored if uid not in listed]
 
 
-def next_position(event_index: int, event: Mapping[str, Any], before: FeedPosition) -> FeedPosition:
-    """The position behind an event."""
-    return FeedPosition(event_index, event_index if has_full_list(event) else before.full_list_index)
+def next_position(event_index: int, event: Mapping[str, Any], previous: FeedPosition) -> FeedPosition:
+    """Returns the position after an event."""
+    return FeedPosition(event_index, event_index if has_full_list(event) else previous.full_list_index)
 
 
 def encode_position(position: FeedPosition) -> Row:
-    """The position's row, to be written after the event's other rows: what is durable then includes them."""
+    """Returns the position's row, which is written last, so that the event's other rows are durable first."""
     return Row(FEED_SPACE, FEED_POSITION_KEY, _encoder.encode(position))
 
 
 def decode_position(rows: Mapping[str, bytes]) -> FeedPosition:
-    """The stored position; the beginning if there is none, or one that another version wrote."""
+    """Returns the stored position; position 0 if there is none, or if another version wrote it."""
     try:
         return _position_decoder.decode(rows[FEED_POSITION_KEY])
     except (KeyError, msgspec.MsgspecError):
@@ -122,9 +124,9 @@
 
 
 def decode_purges(rows: Mapping[str, bytes], now_ms: float) -> list[api.Purge]:
-    """The purges in force, with their age; one from a clock that was set back since has the age 0.
+    """Returns the stored purges with their ages; the age is 0 if the clock has been set back since.
 
-    Rows of another version are skipped.
+    Rows that another version wrote, and that can't be decoded, are skipped.
     """
     purges = []
     for key, value in rows.items():
@@ -138,7 +140,7 @@
 
 
 def _decode_purge_key(key: str) -> tuple[int | None, int]:
-    """The object and the group that a purge's key names. Raises `ValueError`."""
+    """Returns the object and the group of a purge's key. Raises `ValueError`."""
     prefix, number = key[:2], key[2:]
     target = int(number, 16) if prefix == OBJECT_PREFIX else None
     group = int(number) if prefix == GROUP_PREFIX else NO_GROUP
@@ -148,9 +150,10 @@
 def decode_servers(
     rows: Mapping[str, bytes], known_index: int, full_list_index: int = 0
 ) -> list[dict[str, Any]]:
-    """The endpoints newer than the configuration, which knows events up to `known_index`, in event order.
+    """Returns the endpoints that are newer than event `known_index`, the configuration's last, by event.
 
-    Endpoints from before the last full list are no longer listed. Rows of another version are skipped.
+    Endpoints of events before the last full list are no longer listed, and are left out. Rows that another
+    version wrote, and that can't be decoded, are skipped.
     """
     newer: list[ServerRow] = []
     for value in rows.values():
--- a/gladewalk/store/status.py
+++ b/gladewalk/store/status.py
@@ -1,4 +1,4 @@
-"""The store as the control socket shows it; the JSON keys are part of its protocol."""
+"""The store's status on the control socket; the JSON keys are part of its protocol."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
         "is_disk_failing": "refused_by_disk",
     },
 ):
-    """What is stored, and how much of it is durable.
+    """How much is stored, and how much of it is durable.
 
     Attributes:
-        policy: When a write is acknowledged.
-        feed_index: Up to which event the coordinator's feed is stored; 0 if it is not.
+        policy: The sync policy, which sets when a write is acknowledged.
+        feed_index: Number of the last stored event of the coordinator's feed; 0 if the feed is not stored.
         durable_sequence: Sequence number of the last durable record.
         last_sequence: Sequence number of the last record.
-        key_count: Keys in the index, deletions that a compaction has not yet removed included.
+        key_count: Keys in the index, with deletions that no compaction has removed yet.
         size_bytes: Size on disk.
-        segment_count: Segments.
+        segment_count: Number of segments.
         compaction_count: Compactions since the start.
-        is_disk_failing: The disk rejects writes: nothing new outlives a restart.
-        purges: Durable purges in force, sorted.
+        is_disk_failing: The disk rejects writes: new changes would be lost by a restart.
+        purges: Keys of the durable purges, sorted.
     """
 
     policy: str
--- a/gladewalk/store/warm_start.py
+++ b/gladewalk/store/warm_start.py
@@ -1,15 +1,15 @@
-"""Warm-start snapshot: what the policy module has learned, stored in parts and restored by its age. No I/O.
+"""Warm-start snapshot: the policy module's estimates, stored in partitions and restored by age. No I/O.
 
-What counts after a restart:
+These are restored after a restart:
 
-- A location of an object, if it was seen recently enough not to have faded. The module itself checks at each
-  use that it is later than the last purge of the object or group, and than the holder's last start.
-- A server's limit of concurrent cache fills and its time to first byte, if it is listed and has not started
-  since.
-- Sizes of objects, as transfer times, which don't change.
+- An object's location, if it has not expired. The policy module itself checks at each use that the location
+  is later than the last purge of the object or group, and than the holder's last start.
+- A server's limit of concurrent cache fills and its time to first byte, if the server is listed and has not
+  started since.
+- Transfer times of objects: they stand for the sizes, which don't change.
 
-The snapshot is written one partition at a time, so that no turn of the event loop encodes all of it; an
-object belongs to one partition.
+The snapshot is written one partition at a time, so that no single event-loop iteration encodes all of it.
+Each object belongs to one partition.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 PARTITION_COUNT = 16
 SNAPSHOT_SPACE = "warm"
-OBJECTS_KEY = "objects"  # with the partition's number behind it
+OBJECTS_KEY = "objects"  # followed by "-" and the partition's number
 SERVERS_KEY = "sources"
-MAX_SNAPSHOT_AGE_MS = 600_000.0  # of limits and sizes: load may have changed since
+MAX_SNAPSHOT_AGE_MS = 600_000.0  # older limits and transfer times are ignored: load may have changed since
 MAX_FIRST_BYTE_MS = 10_000.0
 
 
 class ObjectsPartition(msgspec.Struct, frozen=True, array_like=True):
-    """The objects of one partition, each by key and part.
+    """The objects of one partition, each with its key and part.
 
-    `locations` has when each holder was last seen, `transfer_times` milliseconds.
+    `locations` has the time at which each holder was last seen with the object; `transfer_times` are in ms.
     """
 
     taken_at_ms: float
@@ -42,7 +42,7 @@
 
 
 class ServerEstimate(msgspec.Struct, frozen=True, array_like=True):
-    """What was measured of one server since its last start."""
+    """The measurements of one server since its last start."""
 
     name: str
     started_ms: float
@@ -58,7 +58,7 @@
 
 
 class RestoredCounts(NamedTuple):
-    """How much of a snapshot was restored."""
+    """How many objects and servers of a snapshot were restored."""
 
     objects: int
     servers: int
@@ -69,22 +69,22 @@
 _servers_decoder = msgspec.msgpack.Decoder(ServerEstimates)
 
 
-def partition_of(obj: tuple[int, int]) -> int:
-    """The partition that an object's key and part belong to."""
-    return (obj[0] ^ obj[1]) % PARTITION_COUNT
+def partition_of(object_id: tuple[int, int]) -> int:
+    """Returns the partition of an object, which is given by key and part."""
+    return (object_id[0] ^ object_id[1]) % PARTITION_COUNT
 
 
 def encode_objects(core: Dispatcher, partition: int, now_ms: float) -> bytes:
-    """Encodes one partition's locations that have not faded, and its transfer times."""
+    """Encodes one partition's locations that have not expired, and its transfer times."""
     locations = []
-    for obj, seen in core.state.locations.items():
-        recent = {name: seen_at for name, seen_at in seen.items() if now_ms - seen_at < LOCATION_TTL_MS}
-        if recent and partition_of(obj) == partition:
-            locations.append((*obj, recent))
+    for object_id, holders in core.state.locations.items():
+        recent = {name: seen_at for name, seen_at in holders.items() if now_ms - seen_at < LOCATION_TTL_MS}
+        if recent and partition_of(object_id) == partition:
+            locations.append((*object_id, recent))
     times = [
-        (*obj, took_ms)
-        for obj, took_ms in core.state.estimates.by_object.items()
-        if partition_of(obj) == partition
+        (*object_id, transfer_ms)
+        for object_id, transfer_ms in core.state.estimates.by_object.items()
+        if partition_of(object_id) == partition
     ]
     return _encoder.encode(ObjectsPartition(now_ms, locations, times))
 
@@ -99,7 +99,7 @@
 
 
 def restore_snapshot(core: Dispatcher, rows: dict[str, bytes], now_ms: float) -> RestoredCounts:
-    """Puts what still counts back into the policy module. Rows of another version are skipped."""
+    """Restores recent rows into the policy module; rows that can't be decoded are skipped."""
     objects = servers = 0
     for key, value in sorted(rows.items()):
         try:
@@ -113,25 +113,25 @@
 
 
 def _is_recent(taken_at_ms: float, now_ms: float, max_age_ms: float) -> bool:
-    """Whether a time is young enough; one ahead of ours, from a clock set back, would never age."""
+    """Returns whether a time is recent; a future one, from before the clock was set back, is not."""
     return 0.0 <= now_ms - taken_at_ms < max_age_ms
 
 
 def _restore_objects(core: Dispatcher, partition: ObjectsPartition, now_ms: float) -> int:
     count = 0
-    for key, part, seen in partition.locations:
+    for key, part, holders in partition.locations:
         recent = {
             name: seen_at
-            for name, seen_at in seen.items()
+            for name, seen_at in holders.items()
             if name in core.state.registry.servers and _is_recent(seen_at, now_ms, LOCATION_TTL_MS)
         }
         if recent:
             core.state.locations[key, part] = {**recent, **core.state.locations.get((key, part), {})}
             count += 1
     if _is_recent(partition.taken_at_ms, now_ms, MAX_SNAPSHOT_AGE_MS):
-        for key, part, took_ms in partition.transfer_times:
-            if 0.0 < took_ms < MAX_SNAPSHOT_AGE_MS:
-                core.state.estimates.by_object.setdefault((key, part), took_ms)
+        for key, part, transfer_ms in partition.transfer_times:
+            if 0.0 < transfer_ms < MAX_SNAPSHOT_AGE_MS:
+                core.state.estimates.by_object.setdefault((key, part), transfer_ms)
     return count
 
 
@@ -141,7 +141,7 @@
     count = 0
     for estimate in estimates.servers:
         server = core.state.registry.servers.get(estimate.name)
-        if server is None or server.started_ms > estimate.started_ms:  # restarted: nothing of it counts
+        if server is None or server.started_ms > estimate.started_ms:  # a restart makes it out of date
             continue
         server.fill_quota = min(MAX_FILL_QUOTA, max(MIN_FILL_QUOTA, estimate.fill_quota))
         server.first_byte_ms = min(MAX_FIRST_BYTE_MS, max(0.0, estimate.first_byte_ms))
--- a/gladewalk/store/writer.py
+++ b/gladewalk/store/writer.py
@@ -1,14 +1,14 @@
-"""Asynchronous writer of the store: changes come from an event loop, the disk is used in a thread of its own.
+"""Asynchronous writer of the store: changes are made on an event loop, and written to the disk in a thread.
 
-Sync policies, by when a change is acknowledged:
+The sync policy sets when a change is acknowledged:
 
-    each    once it is synced; changes that come during a sync share the next one (group commit)
-    group   as `each`, but a batch waits up to `group_ms` for more changes
-    none    at once, without a sync: a power loss may take it
+    each    once it is synced; changes that are made during a sync share the next one (group commit)
+    group   as `each`, but a batch is delayed by up to `group_ms` for more changes
+    none    at once, without a sync: a power loss may lose it
 
-A disk that rejects writes stops nobody: pending changes are retried once in `RETRY_INTERVAL_SECONDS`, within
-the log's bounds, and acknowledgements that wait resolve to False. One event is logged when that begins and
-one when it ends.
+If the disk rejects writes, the director continues without durable changes: pending changes are kept up to the
+log's limit and written again every `RETRY_INTERVAL_SECONDS`, and pending acknowledgements resolve to False.
+One event is logged when writes begin to fail, and one when they succeed again.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 from .segmented_log import SegmentedLog
 
 SyncPolicy = Literal["each", "group", "none"]
-LogEvent = Callable[[str, str], None]  # takes an event's name and its reason
+LogEvent = Callable[[str, str], None]  # its arguments are an event's name and its reason
 RETRY_INTERVAL_SECONDS = 1.0
 CLOSE_POLL_SECONDS = 0.02
-COMPACTION_CHECK_BYTES = 16 * 1024  # written, before which the choice can't have changed much
+COMPACTION_CHECK_BYTES = 16 * 1024  # fewer bytes written hardly change which segments are worth compacting
 WRITES_FAIL_EVENT = "store can't write"
 WRITES_RECOVER_EVENT = "store is back"
 
 
 @dataclass(slots=True, frozen=True)
-class _Waiter:
-    """Whoever waits until a sequence is durable."""
+class _PendingAcknowledgement:
+    """The acknowledgement of a change, which is due once its sequence number is durable."""
 
     sequence: int
     acknowledged: asyncio.Future[bool]
@@ -47,33 +47,33 @@
 
 
 class StoreWriter:
-    """One log and its thread; all calls come from the event loop's thread."""
+    """One log and its thread; all calls are made in the event loop's thread."""
 
     def __init__(
         self, log: SegmentedLog, policy: SyncPolicy, group_ms: float, counters: Counters, log_event: LogEvent
     ) -> None:
         self.log, self.policy, self.group_ms = log, policy, group_ms
         self.counters, self.log_event = counters, log_event
-        self.is_failing = False  # the disk rejected the last write
+        self.is_failing = False  # whether the disk rejected the last write
         self._thread = ThreadPoolExecutor(1, "store")
-        self._waiters: deque[_Waiter] = deque()
+        self._acknowledgements: deque[_PendingAcknowledgement] = deque()
         self._wake = asyncio.Event()
         self._is_closing = False
-        self._written_at_last_check = 0  # bytes, when compaction was last considered
+        self._written_at_last_check = 0  # bytes written when compaction was last considered
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts the task that writes; needs a running event loop."""
+        """Starts the writing task; needs a running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def put(
         self, space: str, key: str, value: bytes, expires_at_ms: float = NEVER_EXPIRES
     ) -> asyncio.Future[bool]:
-        """Sets a value, in memory at once; the future tells whether it is durable by the policy."""
+        """Sets a value, in memory at once; the future's result is whether the change is acknowledged."""
         return self._change(lambda: self.log.put(space, key, value, expires_at_ms))
 
     def delete(self, space: str, key: str) -> asyncio.Future[bool]:
-        """Removes a value; as `put`."""
+        """Removes a value; returns the same as `put`."""
         return self._change(lambda: self.log.delete(space, key))
 
     def _change(self, change: Callable[[], int]) -> asyncio.Future[bool]:
@@ -88,12 +88,12 @@
         if self.policy == "none" or self.is_failing:
             acknowledged.set_result(not self.is_failing)
         else:
-            self._waiters.append(_Waiter(sequence, acknowledged))
+            self._acknowledgements.append(_PendingAcknowledgement(sequence, acknowledged))
         self._wake.set()
         return acknowledged
 
     async def close(self) -> None:
-        """Writes what is pending, if the disk takes it, and ends the task and the thread."""
+        """Writes the pending changes, unless the disk rejects them, and ends the task and the thread."""
         self._is_closing = True
         self._wake.set()
         if self._task is not None:
@@ -117,7 +117,7 @@
                 self._wake.set()
 
     async def _wait_for_retry(self) -> None:
-        """Waits until the disk is tried again, or the writer is closed."""
+        """Waits until the next attempt to write is due, or the writer is closed."""
         loop = asyncio.get_running_loop()
         retry_at = loop.time() + RETRY_INTERVAL_SECONDS
         while not self._is_closing and loop.time() < retry_at:
@@ -125,7 +125,7 @@
         self._wake.set()
 
     async def _write_pending(self) -> bool:
-        """Writes one batch; whether the disk took it."""
+        """Writes one batch; returns False if the disk rejected it."""
         batch = self.log.prepare_batch(is_synced=self.policy != "none")
         if batch is None:
             return True
@@ -134,27 +134,27 @@
             await loop.run_in_executor(self._thread, batch.write, self.log.file_system)
         except OSError as error:
             self.log.fail_batch(batch)
-            self._note_failure(error)
+            self._record_failure(error)
             return False
         durable_sequence = self.log.complete_batch(batch)
         self.counters.add("store.batches")
         if self.is_failing:
             self.is_failing = False
             self.log_event(WRITES_RECOVER_EVENT, f"{len(batch.changes)} records written that had waited")
-        while self._waiters and self._waiters[0].sequence <= durable_sequence:
-            self._waiters.popleft().resolve(True)
+        while self._acknowledgements and self._acknowledgements[0].sequence <= durable_sequence:
+            self._acknowledgements.popleft().resolve(True)
         return True
 
-    def _note_failure(self, error: OSError) -> None:
+    def _record_failure(self, error: OSError) -> None:
         self.counters.add("store.refused_by_disk")
         if not self.is_failing:
             self.is_failing = True
             self.log_event(WRITES_FAIL_EVENT, error.strerror or str(error))
-        while self._waiters:
-            self._waiters.popleft().resolve(False)
+        while self._acknowledgements:
+            self._acknowledgements.popleft().resolve(False)
 
     async def _compact(self) -> None:
-        """Compacts if enough was written since the last look and the policy chooses a prefix."""
+        """Compacts if enough was written since the last check and the policy chooses a prefix."""
         if self.log.written_bytes - self._written_at_last_check < COMPACTION_CHECK_BYTES:
             return
         self._written_at_last_check = self.log.written_bytes
@@ -169,4 +169,4 @@
             self.counters.add("store.compactions")
             await loop.run_in_executor(self._thread, compaction.remove_replaced, self.log.file_system)
         except OSError as error:
-            self._note_failure(error)
+            self._record_failure(error)
