--- a/gladewalk/faultpoints/__init__.py
+++ b/gladewalk/faultpoints/__init__.py
@@ -1,7 +1,7 @@
-"""Fault injection at numbered points: where a part saves, sends, takes, acts or dials, one fault at a time.
+"""Fault injection at numbered points where a part saves, sends, receives, operates or connects.
 
-A run counts the points that it passes; then it is played again once for each of them with one fault there,
-and the invariants are checked. A director doesn't import this package: the points lie where simulations in
-virtual time, and the store's in-memory disk, carry out what the parts decide, so that they cost nothing in
-service.
+A run without a fault counts the points that it passes. Then the run is repeated once for each of them, with
+one fault at that point, and the invariants are checked. A director doesn't import this package: the points
+are in the simulations in virtual time and in the store's in-memory disk, which execute the parts' decisions.
+So they have no cost in production.
 """
--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -1,4 +1,4 @@
-"""Leases at their fault points: three directors, two tasks, a lease handed on and a voter restarted."""
+"""Fault points of leases: three directors, two tasks, a lease that is handed on and a voter that restarts."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 FIRST_KILL_MS, FIRST_DOWN_MS = 2_200.0, 300.0
 HAND_ON_MS = 2_600.0
 END_MS = 7_000.0
-QUIET_MS = 3_000.0  # at the end without a fault: by then each lease is held
+QUIET_MS = 3_000.0  # time without faults at the end, after which each lease must have a holder
 LATEST_OPERATIONS_MS = 500.0
 STALL_MS = 1_600.0  # longer than a lease
-LATE_MS = 1_800.0
+DELAY_MS = 1_800.0
 DOWN_MS = 700.0
 
 
-class ProcessGoneError(GladewalkError):
-    """The process that was carrying something out is dead or stopped: the rest of it is not done."""
+class DirectorKilledError(GladewalkError):
+    """A director was killed while it executed outputs: the remaining ones are not executed."""
 
 
 class FaultPointSimulation(LeaseSimulation):
-    """A simulation that passes a named point wherever a director saves, sends, receives or operates."""
+    """A simulation with a fault point wherever a director saves, sends, receives or operates."""
 
     def __init__(
         self, injector: FaultInjector, seed: int, director_count: int, config: LeaseConfig | None = None
@@ -38,17 +38,17 @@
         self.injector = injector
         self.operated: set[tuple[str, int]] = set()  # tasks and tokens
 
-    def reach(self, director: SimulatedDirector, point: str) -> FaultKind | None:
-        """Passes a point; returns the fault to play there, raises `ProcessGoneError` if it is a kill."""
-        kind = self.injector.reach(point)
+    def pass_point(self, director: SimulatedDirector, point: str) -> FaultKind | None:
+        """Passes a point; returns the fault to inject there. Raises `DirectorKilledError` for a kill."""
+        kind = self.injector.record_pass(point)
         if kind is FaultKind.KILL:
             self.kill(director.name, DOWN_MS)
-            raise ProcessGoneError(point)
+            raise DirectorKilledError(point)
         return kind
 
     def carry_out(self, director: SimulatedDirector, outputs: Sequence[Output]) -> None:
-        """Does what a director's state machines ask for, up to the point at which it is killed."""
-        with contextlib.suppress(ProcessGoneError):
+        """Executes the outputs of a director's state machines, until a fault kills the director."""
+        with contextlib.suppress(DirectorKilledError):
             self._carry_out(director, outputs)
 
     def _carry_out(self, director: SimulatedDirector, outputs: Sequence[Output]) -> None:
@@ -59,21 +59,21 @@
                 self._send(director, output)
 
     def _save(self, director: SimulatedDirector, save: Save) -> None:
-        kind = self.reach(director, "leases.save.grant")
+        kind = self.pass_point(director, "leases.save.grant")
         self.save_grant(director, save)
-        if kind is FaultKind.STALL:  # saved, and stopped before the grant is sent
+        if kind is FaultKind.STALL:  # the grant is saved, and the director stalls before it is sent
             self.pause(director.name, STALL_MS)
             self.after(STALL_MS + 0.1, lambda: self.carry_out(director, save.on_durable))
         else:
             self._carry_out(director, save.on_durable)
 
     def _send(self, director: SimulatedDirector, send: Send) -> None:
-        kind = self.reach(director, f"leases.send.{type(send.message).__name__}")
+        kind = self.pass_point(director, f"leases.send.{type(send.message).__name__}")
         payload = encode(send.message)
         if kind is FaultKind.DROP:
             return
         if kind is FaultKind.DELAY:
-            self.after(LATE_MS, lambda: self.deliver(send.recipient, payload))
+            self.after(DELAY_MS, lambda: self.deliver(send.recipient, payload))
             return
         for _ in range(2 if kind is FaultKind.DUPLICATE else 1):
             self.post(director.name, send.recipient, payload)
@@ -81,42 +81,44 @@
             self.pause(director.name, STALL_MS)
 
     def deliver(self, target: str, payload: bytes) -> None:
-        """Delivers a datagram, unless its receiver is killed; one that stalls gets it afterwards."""
+        """Delivers a datagram, unless a fault kills the receiver; a stalled receiver gets it afterwards."""
         director = self.directors[target]
         if director.is_up and self.now_ms >= director.paused_until_ms:
             try:
-                kind = self.reach(director, f"leases.take.{type(decode(payload)).__name__}")
-            except ProcessGoneError:
+                kind = self.pass_point(director, f"leases.take.{type(decode(payload)).__name__}")
+            except DirectorKilledError:
                 return
             if kind is FaultKind.STALL:
                 self.pause(target, STALL_MS)
         super().deliver(target, payload)
 
     def operate(self, director: SimulatedDirector, task: str, token: int, performed_at_ms: float) -> None:
-        """Sends an operation, unless its sender is killed; late, or followed by a stall."""
+        """Sends an operation, unless a fault kills the sender; a fault may delay it, or stall the sender."""
         is_first = (task, token) not in self.operated
         self.operated.add((task, token))
         try:
-            kind = self.reach(director, f"leases.act.{'begin' if is_first else 'repeat'}")
-        except ProcessGoneError:
+            kind = self.pass_point(director, f"leases.act.{'begin' if is_first else 'repeat'}")
+        except DirectorKilledError:
             return
         if kind is FaultKind.DELAY:
             send = super().operate
-            self.after(LATE_MS, lambda: send(director, task, token, performed_at_ms))
+            self.after(DELAY_MS, lambda: send(director, task, token, performed_at_ms))
             return
         super().operate(director, task, token, performed_at_ms)
         if kind is FaultKind.STALL and self.now_ms >= director.paused_until_ms:
             self.pause(director.name, STALL_MS)
 
 
-def play(injector: FaultInjector, change: Callable[[FaultPointSimulation], None] | None = None) -> str:
-    """Plays one run, changed by `change` before it starts; returns what is wrong, or an empty text."""
+def run_scenario(
+    injector: FaultInjector, change: Callable[[FaultPointSimulation], None] | None = None
+) -> str:
+    """Runs the scenario, changed by `change` before it starts; returns the violation, or an empty text."""
     simulation = FaultPointSimulation(injector, SEED, DIRECTOR_COUNT)
     if change is not None:
         change(simulation)
     simulation.start()
     simulation.run_until(FIRST_KILL_MS)
-    # Back, it grants nothing for as long as it may have promised to.
+    # After its restart the voter grants nothing until all grants that it may have made before have expired.
     simulation.kill(simulation.names[-1], FIRST_DOWN_MS)
     simulation.run_until(HAND_ON_MS)
     simulation.hand_on()
@@ -126,10 +128,10 @@
     records = simulation.fence.records
     verdict, overlaps = check(records, END_MS), simulation.beliefs.count_overlaps()
     if not verdict.is_safe or overlaps:
-        return f"{verdict} and {overlaps} beliefs that cross"
-    held = {
+        return f"{verdict} and {overlaps} overlapping beliefs"
+    held_tasks = {
         record.task
         for record in records
         if record.is_accepted and record.received_at_ms > END_MS - LATEST_OPERATIONS_MS
     }
-    return "" if held == set(TASKS) else f"held in the end: {sorted(held)}"
+    return "" if held_tasks == set(TASKS) else f"tasks with a holder at the end: {sorted(held_tasks)}"
--- a/gladewalk/faultpoints/membership_scenario.py
+++ b/gladewalk/faultpoints/membership_scenario.py
@@ -1,4 +1,4 @@
-"""Membership at its fault points: three members meet, one is killed and comes back, all converge."""
+"""Fault points of membership: three members join, one is killed and restarted, and all converge."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ..rehearsal.member_network import CLOCK_WINDOW_MS, KEY, MemberNetwork, MemberNode
 from .points import FaultInjector, FaultKind
 
-STALL_MS = 1_600.0  # longer than a suspicion lasts, shorter than a stalled member is kept
-LATE_MS = 1_500.0
+STALL_MS = 1_600.0  # longer than a suspicion, shorter than it takes to declare a stalled member dead
+DELAY_MS = 1_500.0
 DOWN_MS = 900.0
 NAMES = ("m0", "m1", "m2")
-POINT_SUFFIXES: dict[type[DatagramMessage], str] = {  # as the catalogue of points names the messages
+POINT_SUFFIXES: dict[type[DatagramMessage], str] = {  # names of the messages in the catalogue of points
     Ping: "Ping",
     Ack: "Ack",
     Nack: "Nack",
@@ -26,20 +26,20 @@
 
 
 def point_suffix(data: bytes, now_ms: float) -> str:
-    """Returns the last part of the points of a datagram's message."""
-    # A verifier of its own: the node's would take the datagram for a replay afterwards.
+    """Returns the last part of the names of the points that a datagram's message passes."""
+    # This needs an authenticator of its own: the node's would then reject the datagram as a replay.
     verified = MessageAuthenticator((KEY,), CLOCK_WINDOW_MS).verify(data, now_ms)
     assert isinstance(verified, bytes)
     return POINT_SUFFIXES[type(decode(verified))]
 
 
 class FaultPointNetwork(MemberNetwork):
-    """Network whose nodes pass a fault point where they send, receive, connect and reach verdicts."""
+    """Network whose nodes pass a fault point where they send, receive, connect, or judge another member."""
 
     def __init__(self, injector: FaultInjector, seed: int, config: MembershipConfig | None = None) -> None:
         super().__init__(seed, config)
         self.injector = injector
-        self.killed_at_ms: dict[str, float] = {}  # first kill of each node
+        self.killed_at_ms: dict[str, float] = {}  # the first kill of each node, by its name
         self.on_change = self._pass_verdict
 
     def kill_for(self, node: MemberNode, down_ms: float = DOWN_MS) -> None:
@@ -53,8 +53,8 @@
         self.start(name, NAMES[:2])
 
     def pass_point(self, node: MemberNode, point: str) -> FaultKind | None:
-        """Passes a point; plays a kill or a stall, and returns any fault for the caller to heed."""
-        kind = self.injector.reach(point)
+        """Passes a point; injects a kill or a stall here, and returns any fault for the caller to handle."""
+        kind = self.injector.record_pass(point)
         if kind is FaultKind.KILL:
             self.kill_for(node)
         elif kind is FaultKind.STALL:
@@ -73,7 +73,7 @@
         if kind in (FaultKind.KILL, FaultKind.DROP):
             return
         if kind is FaultKind.DELAY:
-            self.schedule(LATE_MS, lambda: super(FaultPointNetwork, self).send(node, data, to))
+            self.schedule(DELAY_MS, lambda: super(FaultPointNetwork, self).send(node, data, to))
             return
         for _ in range(2 if kind is FaultKind.DUPLICATE else 1):
             super().send(node, data, to)
@@ -107,16 +107,16 @@
             super().start_probe(node, probe)
 
     def carry_out(self, node: MemberNode, actions: list[Action]) -> None:
-        """Carries out what a node asks for, unless a fault has killed it."""
+        """Executes a node's actions, unless a fault has killed the node."""
         if node.is_up:
             super().carry_out(node, actions)
 
 
-def play(injector: FaultInjector, change: Callable[[FaultPointNetwork], None] | None = None) -> str:
-    """Plays the scenario; returns what does not hold, empty if all does.
+def run_scenario(injector: FaultInjector, change: Callable[[FaultPointNetwork], None] | None = None) -> str:
+    """Runs the scenario; returns the violation, or an empty text.
 
-    Three members meet; a path is cut one way for a while; one member is killed and comes back. `change` may
-    alter the network first.
+    Three members join; a path is cut one way for a while; one member is killed and restarted. `change` may
+    change the network first.
     """
     network = FaultPointNetwork(injector, seed=3)
     if change is not None:
@@ -125,7 +125,7 @@
         network.start(name, NAMES[:number])
     network.run(1_200.0)
     network.is_blocked = lambda source, target: (source, target) == ("m0", "m1")
-    network.run(400.0)  # shorter than any suspicion: a stall within it is one fault, and not two
+    network.run(400.0)  # shorter than any suspicion, so that the cut and a stall during it count as one fault
     network.is_blocked = lambda source, target: False
     network.kill_for(network.nodes["m2"], 1_600.0)
     network.run(3_700.0)
@@ -135,14 +135,14 @@
 
 
 def failure_of(network: FaultPointNetwork) -> str:
-    """Describes unexpected deaths or a missing convergence; empty if there is neither."""
+    """Describes unexpected deaths or a missing convergence; returns an empty text if there is neither."""
     unexpected = [
-        f"{death.observer} held {death.member} dead"
+        f"{death.observer} declared {death.member} dead"
         for death in network.changes(MemberChange.DIED)
         if death.at_ms < network.killed_at_ms.get(death.member, death.at_ms + 1.0)
     ]
     if unexpected:
         return "; ".join(unexpected)
     if not network.has_converged():
-        return f"no one roster: { {name: sorted(network.live_as_seen_by(name)) for name in NAMES} }"
+        return f"member lists differ: { {name: sorted(network.live_as_seen_by(name)) for name in NAMES} }"
     return ""
--- a/gladewalk/faultpoints/scenarios.py
+++ b/gladewalk/faultpoints/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that the sweep plays, by part."""
+"""The scenarios that the sweep runs, by part."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from .sweep import Scenario
 
 SCENARIOS: tuple[tuple[str, Scenario], ...] = (
-    ("store", store_scenario.play),
-    ("leases", lease_scenario.play),
-    ("members", membership_scenario.play),
+    ("store", store_scenario.run_scenario),
+    ("leases", lease_scenario.run_scenario),
+    ("members", membership_scenario.run_scenario),
 )
--- a/tests/test_fault_points.py
+++ b/tests/test_fault_points.py
@@ -32,9 +32,9 @@
         last = first[-1]
         injector = FaultInjector(last.number, last.point.kinds[0])
         play(injector)
-        assert injector.is_fault_played and injector.passes[: len(first)] == first
+        assert injector.is_fault_injected and injector.passes[: len(first)] == first
     with pytest.raises(UnlistedPointError):
-        FaultInjector().reach("store.disk.burn")
+        FaultInjector().record_pass("store.disk.burn")
 
 
 def test_a_point_that_no_run_reaches_is_told() -> None:
@@ -44,7 +44,7 @@
 
 
 def test_the_sample_of_passes_is_spread_over_the_whole_run() -> None:
-    passed = count_passes(store_scenario.play, "store")
+    passed = count_passes(store_scenario.run_scenario, "store")
     some = sample_passes(passed, 3)
     syncs = [one.occurrence for one in some if one.point.name == "store.disk.sync"]
     assert len(syncs) == 3 and syncs[0] == 0 and syncs[-1] > 10
@@ -117,12 +117,12 @@
 
 @pytest.mark.parametrize("log_type", [UnsyncedLog, ErrorIgnoringLog, UnsyncedDirectoryLog])
 def test_a_broken_store_is_found(log_type: type[SegmentedLog]) -> None:
-    assert found(lambda injector: store_scenario.play(injector, log_type), "store", 40)
+    assert found(lambda injector: store_scenario.run_scenario(injector, log_type), "store", 40)
 
 
 @pytest.mark.parametrize("change", [open_sink, tireless])
 def test_broken_leases_are_found(change: Callable[[lease_scenario.FaultPointSimulation], None]) -> None:
-    assert found(lambda injector: lease_scenario.play(injector, change), "leases", 12)
+    assert found(lambda injector: lease_scenario.run_scenario(injector, change), "leases", 12)
 
 
 def test_hasty_verdicts_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -134,7 +134,7 @@
         "consult_peers",
         lambda self, suspect, now_ms: setattr(suspect, "has_consulted_peers", True),
     )
-    assert found(membership_scenario.play, "members", 6)
+    assert found(membership_scenario.run_scenario, "members", 6)
 
 
 def test_members_that_believe_no_later_run_do_not_even_hold_without_a_fault(
@@ -144,5 +144,5 @@
     monkeypatch.setattr(
         gossip_state, "supersedes", lambda new, old: new.run_id == old.run_id and supersedes(new, old)
     )
-    with pytest.raises(BaselineError, match="without a fault: no one roster"):
+    with pytest.raises(BaselineError, match="without a fault: member lists differ"):
         sweep(SCENARIOS[2:], 1)
