--- a/gladewalk/faultnet/syscall_faults.c
+++ b/gladewalk/faultnet/syscall_faults.c
@@ -1,11 +1,13 @@
-/* Fails system calls of one process by a schedule; loaded with LD_PRELOAD into a director under test.
+/* Makes system calls of one process fail by a schedule; loaded with LD_PRELOAD into a director under test.
  *
  * GLADEWALK_FAULT_SCHEDULE names a file: "epoch_ns seed", then a line for each fault:
  *     begin_ms end_ms kind number percent folder
- * Times are ms since the epoch, a reading of CLOCK_MONOTONIC. `number` is an errno, or the step of the wall clock
- * in ms. Errors of reads and writes hit connections that the process has made: an error on a client's would mean
- * that the client has gone. `folder` is "-" or the folder below which files are meant. GLADEWALK_FAULT_LOG names a file to which
- * each injected fault is written: "ms kind number fd".
+ * Times are in ms since the epoch, which is a reading of CLOCK_MONOTONIC. `number` is an errno, or the step
+ * of the wall clock in ms. Reads and writes only fail on connections that the process has opened itself: an
+ * error on a client's connection would mean that the client has disconnected. `folder` is "-", or a folder:
+ * only calls on files below it fail.
+ * GLADEWALK_FAULT_LOG names a file to which each injected fault is written:
+ *     ms kind number fd
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -41,7 +43,7 @@
 static struct fault faults[MAX_FAULTS];
 static int fault_count, log_fd = -1;
 static int64_t epoch_ns;
-static unsigned char is_dialled[MAX_DESCRIPTORS]; /* connections that this process has made */
+static unsigned char is_outgoing[MAX_DESCRIPTORS]; /* connections that this process has opened itself */
 static uint64_t random_state = 1;
 
 static int64_t monotonic_ns(void) {
@@ -66,8 +68,9 @@
         epoch_ns = (int64_t)epoch;
         random_state = seed;
         struct fault *f = faults;
-        while (fault_count < MAX_FAULTS && fscanf(file, "%ld %ld %23s %ld %d %4095s", &f->begin_ms, &f->end_ms,
-                                                  f->kind, &f->number, &f->percent, f->folder) == 6) {
+        while (fault_count < MAX_FAULTS &&
+               fscanf(file, "%ld %ld %23s %ld %d %4095s", &f->begin_ms, &f->end_ms, f->kind, &f->number,
+                      &f->percent, f->folder) == 6) {
             fault_count++;
             f++;
         }
@@ -91,8 +94,9 @@
     return strncmp(path, folder, strlen(folder)) == 0;
 }
 
-/* Returns the fault of this kind that is drawn for a call now; path faults need a file below their folder. */
-static const struct fault *drawn(const char *kind, int fd, const char *path) {
+/* Returns the current fault of this kind that a random draw selects for a call, or NULL. A fault with a
+ * folder only applies to files below that folder. */
+static const struct fault *select_fault(const char *kind, int fd, const char *path) {
     long now = fault_count ? elapsed_ms() : 0;
     for (int i = 0; i < fault_count; i++) {
         const struct fault *f = &faults[i];
@@ -105,8 +109,8 @@
     return NULL;
 }
 
-static int fails(const char *kind, int fd, const char *path) {
-    const struct fault *f = drawn(kind, fd, path);
+static int inject_error(const char *kind, int fd, const char *path) {
+    const struct fault *f = select_fault(kind, fd, path);
     if (!f) return 0;
     log_fault(f, fd);
     errno = (int)f->number;
@@ -121,12 +125,12 @@
     return found;
 }
 
-static int is_dialled_stream(int fd) {
-    return fd >= 0 && fd < MAX_DESCRIPTORS && is_dialled[fd] && is_stream_socket(fd);
+static int is_outgoing_stream(int fd) {
+    return fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] && is_stream_socket(fd);
 }
 
-static size_t cut(const char *kind, int fd, size_t size) {
-    const struct fault *f = size > 1 ? drawn(kind, fd, NULL) : NULL;
+static size_t shorten(const char *kind, int fd, size_t size) {
+    const struct fault *f = size > 1 ? select_fault(kind, fd, NULL) : NULL;
     if (!f) return size;
     log_fault(f, fd);
     return 1 + draw((unsigned)(size > 1000000 ? 1000000 : size) - 1);
@@ -179,9 +183,9 @@
 /* Sockets. */
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
-    if (fails("accept", fd, NULL)) return -1;
+    if (inject_error("accept", fd, NULL)) return -1;
     int peer = REAL(accept4)(fd, address, size, flags);
-    if (peer >= 0 && peer < MAX_DESCRIPTORS) is_dialled[peer] = 0;
+    if (peer >= 0 && peer < MAX_DESCRIPTORS) is_outgoing[peer] = 0;
     return peer;
 }
 
@@ -190,51 +194,51 @@
 }
 
 int socket(int family, int type, int protocol) {
-    if (family != AF_UNIX && (type & 0xf) == SOCK_STREAM && fails("socket", -1, NULL)) return -1;
+    if (family != AF_UNIX && (type & 0xf) == SOCK_STREAM && inject_error("socket", -1, NULL)) return -1;
     int fd = REAL(socket)(family, type, protocol);
-    if (fd >= 0 && fd < MAX_DESCRIPTORS) is_dialled[fd] = 0;
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) is_outgoing[fd] = 0;
     return fd;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
-    if (address->sa_family != AF_UNIX && is_stream_socket(fd) && fails("connect", fd, NULL)) return -1;
-    if (address->sa_family != AF_UNIX && fd >= 0 && fd < MAX_DESCRIPTORS) is_dialled[fd] = 1;
+    if (address->sa_family != AF_UNIX && is_stream_socket(fd) && inject_error("connect", fd, NULL)) return -1;
+    if (address->sa_family != AF_UNIX && fd >= 0 && fd < MAX_DESCRIPTORS) is_outgoing[fd] = 1;
     return REAL(connect)(fd, address, size);
 }
 
 int epoll_pwait(int fd, struct epoll_event *events, int count, int timeout, const sigset_t *mask) {
-    return fails("wait", fd, NULL) ? -1 : REAL(epoll_pwait)(fd, events, count, timeout, mask);
+    return inject_error("wait", fd, NULL) ? -1 : REAL(epoll_pwait)(fd, events, count, timeout, mask);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int count, int timeout) {
-    return fails("wait", fd, NULL) ? -1 : REAL(epoll_wait)(fd, events, count, timeout);
+    return inject_error("wait", fd, NULL) ? -1 : REAL(epoll_wait)(fd, events, count, timeout);
 }
 
 ssize_t read(int fd, void *data, size_t size) {
     if (fault_count && is_stream_socket(fd)) {
-        if (is_dialled_stream(fd) && fails("read", fd, NULL)) return -1;
-        size = cut("read_short", fd, size);
+        if (is_outgoing_stream(fd) && inject_error("read", fd, NULL)) return -1;
+        size = shorten("read_short", fd, size);
     }
     return REAL(read)(fd, data, size);
 }
 
 ssize_t recv(int fd, void *data, size_t size, int flags) {
     if (fault_count && is_stream_socket(fd)) {
-        if (is_dialled_stream(fd) && fails("read", fd, NULL)) return -1;
-        size = cut("read_short", fd, size);
+        if (is_outgoing_stream(fd) && inject_error("read", fd, NULL)) return -1;
+        size = shorten("read_short", fd, size);
     }
     return REAL(recv)(fd, data, size, flags);
 }
 
 static ssize_t write_file(int fd, const void *data, size_t size) {
-    if (fails("disk_write", fd, NULL)) return -1;
-    const struct fault *kill_fault = drawn("disk_kill", fd, NULL);
+    if (inject_error("disk_write", fd, NULL)) return -1;
+    const struct fault *kill_fault = select_fault("disk_kill", fd, NULL);
     if (kill_fault) {
         log_fault(kill_fault, fd);
         REAL(write)(fd, data, size / 2);
         kill(getpid(), SIGKILL);
     }
-    return REAL(write)(fd, data, cut("disk_short", fd, size));
+    return REAL(write)(fd, data, shorten("disk_short", fd, size));
 }
 
 ssize_t write(int fd, const void *data, size_t size) {
@@ -242,23 +246,25 @@
     if (!fault_count || fstat(fd, &status)) return REAL(write)(fd, data, size);
     if (S_ISREG(status.st_mode)) return write_file(fd, data, size);
     if (S_ISSOCK(status.st_mode) && is_stream_socket(fd)) {
-        if (is_dialled_stream(fd) && fails("write", fd, NULL)) return -1;
-        size = cut("write_short", fd, size);
+        if (is_outgoing_stream(fd) && inject_error("write", fd, NULL)) return -1;
+        size = shorten("write_short", fd, size);
     }
     return REAL(write)(fd, data, size);
 }
 
 ssize_t pwrite(int fd, const void *data, size_t size, off_t offset) {
-    return fails("disk_write", fd, NULL) ? -1 : REAL(pwrite)(fd, data, size, offset);
+    return inject_error("disk_write", fd, NULL) ? -1 : REAL(pwrite)(fd, data, size, offset);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     struct stat status;
-    if (fault_count && fstat(fd, &status) == 0 && S_ISREG(status.st_mode) && fails("disk_write", fd, NULL))
+    if (fault_count && fstat(fd, &status) == 0 && S_ISREG(status.st_mode) &&
+        inject_error("disk_write", fd, NULL))
         return -1;
     if (fault_count && is_stream_socket(fd)) {
-        if (is_dialled_stream(fd) && fails("write", fd, NULL)) return -1;
-        if (count > 0 && parts[0].iov_len > 1 && cut("write_short", fd, parts[0].iov_len) < parts[0].iov_len)
+        if (is_outgoing_stream(fd) && inject_error("write", fd, NULL)) return -1;
+        if (count > 0 && parts[0].iov_len > 1 &&
+            shorten("write_short", fd, parts[0].iov_len) < parts[0].iov_len)
             return REAL(write)(fd, parts[0].iov_base, parts[0].iov_len / 2);
     }
     return REAL(writev)(fd, parts, count);
@@ -266,27 +272,29 @@
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
     if (fault_count && is_stream_socket(fd)) {
-        if (is_dialled_stream(fd) && fails("write", fd, NULL)) return -1;
-        size = cut("write_short", fd, size);
+        if (is_outgoing_stream(fd) && inject_error("write", fd, NULL)) return -1;
+        size = shorten("write_short", fd, size);
     }
     return REAL(send)(fd, data, size, flags);
 }
 
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
-    if (fault_count && is_dialled_stream(fd) && fails("write", fd, NULL)) return -1;
+    if (fault_count && is_outgoing_stream(fd) && inject_error("write", fd, NULL)) return -1;
     return REAL(sendmsg)(fd, message, flags);
 }
 
 /* Files. */
 
-int fsync(int fd) { return fails("disk_sync", fd, NULL) ? -1 : REAL(fsync)(fd); }
-int fdatasync(int fd) { return fails("disk_sync", fd, NULL) ? -1 : REAL(fdatasync)(fd); }
-int ftruncate(int fd, off_t size) { return fails("disk_truncate", fd, NULL) ? -1 : REAL(ftruncate)(fd, size); }
+int fsync(int fd) { return inject_error("disk_sync", fd, NULL) ? -1 : REAL(fsync)(fd); }
+int fdatasync(int fd) { return inject_error("disk_sync", fd, NULL) ? -1 : REAL(fdatasync)(fd); }
+int ftruncate(int fd, off_t size) {
+    return inject_error("disk_truncate", fd, NULL) ? -1 : REAL(ftruncate)(fd, size);
+}
 
 int rename(const char *from, const char *to) {
-    return fails("disk_rename", -1, to) ? -1 : REAL(rename)(from, to);
+    return inject_error("disk_rename", -1, to) ? -1 : REAL(rename)(from, to);
 }
 
 int renameat(int from_folder, const char *from, int to_folder, const char *to) {
-    return fails("disk_rename", -1, to) ? -1 : REAL(renameat)(from_folder, from, to_folder, to);
+    return inject_error("disk_rename", -1, to) ? -1 : REAL(renameat)(from_folder, from, to_folder, to);
 }
--- a/gladewalk/faultnet/syscall_faults.py
+++ b/gladewalk/faultnet/syscall_faults.py
@@ -1,8 +1,8 @@
 """Faults of system calls in real processes: a C library, loaded into a director, and its schedule.
 
-uvloop's calls do not pass through Python, so that they can only be failed below it. The library
-(`syscall_faults.c`) is built with the machine's compiler and loaded with `LD_PRELOAD`; a schedule says what
-fails when, and each fault that was injected is logged with its time.
+uvloop makes its system calls in C, so that they can't be replaced from Python. The library
+(`syscall_faults.c`) is built with the machine's compiler and loaded with `LD_PRELOAD`. A schedule sets which
+calls fail when, and each injected fault is logged with its time.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 
 
 class CompilerMissingError(GladewalkError):
-    """No C compiler is to be had, so that no system call can be failed."""
+    """There is no C compiler to build the library, so that no fault can be injected into system calls."""
 
 
 class FaultKind(Enum):
-    """What a fault does; `number` of a `SyscallFault` is an errno unless said otherwise."""
+    """The kind of a fault. `SyscallFault.number` is an errno, unless a comment or `SyscallFault` differs."""
 
     CLOCK_STEP = "clock_step"  # moves the wall clock by `number` ms
     ACCEPT = "accept"
     SOCKET = "socket"
     CONNECT = "connect"
-    WAIT = "wait"  # of epoll
-    READ = "read"  # from a connection that the process has made
-    WRITE = "write"  # to such a one
-    READ_SHORT = "read_short"  # a part of what is there
+    WAIT = "wait"  # epoll_wait and epoll_pwait
+    READ = "read"  # from a connection that the process has opened itself
+    WRITE = "write"  # to a connection that the process has opened itself
+    READ_SHORT = "read_short"  # reads fewer bytes than requested
     WRITE_SHORT = "write_short"
     DISK_WRITE = "disk_write"
     DISK_SHORT = "disk_short"
     DISK_SYNC = "disk_sync"
     DISK_RENAME = "disk_rename"
     DISK_TRUNCATE = "disk_truncate"
-    DISK_KILL = "disk_kill"  # SIGKILL with half of a write done
+    DISK_KILL = "disk_kill"  # SIGKILL after half of a write
 
 
 ERRORS_BY_KIND: dict[FaultKind, tuple[int, ...]] = {
@@ -66,7 +66,7 @@
     FaultKind.DISK_RENAME: (errno.ENOSPC, errno.EIO),
     FaultKind.DISK_TRUNCATE: (errno.EIO,),
 }  # fmt: skip
-"""The errors that Linux documents for each call the director makes: the numbered cases of the tests."""
+"""The errors that Linux documents for each call that the director makes; the tests have a case for each."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,12 +74,12 @@
     """One fault.
 
     Attributes:
-        begin_ms: From when, ms since the schedule's epoch.
-        end_ms: Until when.
-        kind: The call, or the clock.
-        number: The errno; the step in ms for the clock; unused for short reads and writes.
-        percent: Of the calls that are hit.
-        folder: Below which files are meant; empty: any.
+        begin_ms: Its start, in ms since the schedule's epoch.
+        end_ms: Its end, in ms since the schedule's epoch.
+        kind: The call that fails, or a step of the clock.
+        number: The errno, or the clock's step in ms; unused for short reads and writes.
+        percent: How many percent of the calls fail.
+        folder: Only calls on files below this folder fail; empty: calls on any file.
     """
 
     begin_ms: int
@@ -90,13 +90,13 @@
     folder: str = ""
 
     def line(self) -> str:
-        """Returns the fault's line of the schedule."""
+        """Returns the fault's line of the schedule file."""
         folder = self.folder or NO_FOLDER
         return f"{self.begin_ms} {self.end_ms} {self.kind.value} {self.number} {self.percent} {folder}"
 
 
 def build_library(folder: Path) -> Path:
-    """Builds the library in a folder and returns its file.
+    """Builds the library in a folder and returns its path.
 
     Raises:
         CompilerMissingError: The machine has no C compiler, or it rejects the source.
@@ -117,11 +117,11 @@
     """The faults of one process.
 
     Attributes:
-        folder: Where the schedule and its log are.
-        name: Of their files.
-        seed: Of the draws among the calls.
-        faults: What fails when.
-        epoch_ns: The origin of their times, a reading of the monotonic clock.
+        folder: The folder of the schedule and its log.
+        name: The first part of their file names.
+        seed: The seed of the random choice of the calls that fail.
+        faults: The faults.
+        epoch_ns: The origin of the faults' times, a reading of the monotonic clock.
     """
 
     folder: Path
@@ -132,11 +132,11 @@
 
     @property
     def log_file(self) -> Path:
-        """Where the library logs each fault that it injects."""
+        """The file in which the library logs each fault that it injects."""
         return self.folder / f"{self.name}.faults.log"
 
     def environment(self, library: Path) -> dict[str, str]:
-        """Writes the schedule; returns the variables with which a process is started under it."""
+        """Writes the schedule; returns the environment variables for a process that loads it."""
         path = self.folder / f"{self.name}.faults"
         lines = [f"{self.epoch_ns} {self.seed}", *(fault.line() for fault in self.faults)]
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
@@ -147,13 +147,13 @@
             "GLADEWALK_FAULT_LOG": str(self.log_file),
         }
 
-    def injected(self) -> list[str]:
-        """Returns the lines of the log: ms, kind, number and descriptor of each fault that was injected."""
+    def injected_faults(self) -> list[str]:
+        """Returns the lines of the log: time in ms, kind, number and descriptor of each injected fault."""
         if not self.log_file.exists():
             return []
         return self.log_file.read_text(encoding="utf-8").splitlines()
 
 
-def present_epoch_ns() -> int:
-    """Returns the present as an epoch of a schedule."""
+def current_epoch_ns() -> int:
+    """Returns the current time as the epoch of a schedule."""
     return time.monotonic_ns()
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -14,7 +14,7 @@
     FaultSchedule,
     SyscallFault,
     build_library,
-    present_epoch_ns,
+    current_epoch_ns,
 )
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
@@ -64,7 +64,7 @@
 ) -> tuple[DirectorProgram, FaultSchedule, tuple[str, int]]:
     """Starts a director that serves before its faults begin, however long its start takes on this machine."""
     for delay_s in START_DELAYS_S:
-        epoch_ns = present_epoch_ns() + round(delay_s * 1e9)
+        epoch_ns = current_epoch_ns() + round(delay_s * 1e9)
         schedule = FaultSchedule(folder, "director", 7, faults, epoch_ns)
         schedule.log_file.unlink(missing_ok=True)
         director = await start_program(config_file, environ=schedule.environment(library))
@@ -109,7 +109,7 @@
     coordinator.stop()
     for server in servers:
         server.stop()
-    return Outcome(during, after, schedule.injected(), exit_code)
+    return Outcome(during, after, schedule.injected_faults(), exit_code)
 
 
 @pytest.mark.parametrize(("kind", "number"), CASES, ids=[f"{kind.value}-{number}" for kind, number in CASES])
@@ -149,7 +149,7 @@
         config_file = tmp_path / "director.json"
         config_file.write_text(json.dumps(config_for([cache], coordinator)), encoding="utf-8")
         step = SyscallFault(1_500, 600_000, FaultKind.CLOCK_STEP, step_ms)
-        schedule = FaultSchedule(tmp_path, "director", 7, (step,), present_epoch_ns())
+        schedule = FaultSchedule(tmp_path, "director", 7, (step,), current_epoch_ns())
         director: DirectorProgram = await start_program(config_file, environ=schedule.environment(library))
         address = tuple((await director.event("serving"))["listen"])
         loop = asyncio.get_running_loop()
