--- a/gladewalk/faultnet/expected_failures.py
+++ b/gladewalk/faultnet/expected_failures.py
@@ -7,16 +7,16 @@
 from ..members.history import ExpectedFailure
 from .schedule import Fault, FaultKind
 
-SLACK_MS = 2_500.0  # after a fault's end: a suspicion may expire just then, and its last gossip still arrives
+SLACK_MS = 2_500.0  # a suspicion may expire at a fault's end, and gossip about it is received later still
 
 
 def expected_failures(
     faults: Sequence[Fault], names: tuple[str, ...], started_at_ms: float, max_stall_ms: float
 ) -> list[ExpectedFailure]:
-    """Returns the failures that a schedule accounts for.
+    """Returns the failures that a schedule may cause.
 
-    Loss, delay, duplication and faults on one link account for none, nor does a pause of at most
-    `max_stall_ms`.
+    Loss, delay, duplication and faults on one link may cause none, and a pause of at most `max_stall_ms` may
+    not either.
 
     Args:
         faults: The schedule.
--- a/gladewalk/faultnet/fenced_resource.py
+++ b/gladewalk/faultnet/fenced_resource.py
@@ -1,4 +1,4 @@
-"""Stand-in for a fenced resource: a fence, the record of what arrived, and what was done."""
+"""Stand-in for a fenced resource: its fence, which records all operations, and the operations performed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompletedPurge:
-    """A purge as it was first done."""
+    """A purge as it was performed first; repetitions don't change it."""
 
     target: str
     token: int
@@ -32,9 +32,9 @@
 class FencedResource(asyncio.DatagramProtocol):
     """A hub cache that purges, or the collector of reports.
 
-    Every operation meets the fence first. Of what is accepted, a purge is done once for each id however often
-    it arrives; the pages of a report are put together. `is_unresponsive` drops everything, as a hub that is
-    down.
+    The fence checks every operation first. An accepted purge is performed once for each id, however often it
+    is received; the pages of a report are combined. While `is_unresponsive` is set, all datagrams are
+    dropped, as by a hub that is down.
     """
 
     def __init__(self, keys: tuple[AuthenticationKey, ...]) -> None:
@@ -45,8 +45,8 @@
         self.is_unresponsive = False
         self.purges: dict[str, CompletedPurge] = {}  # by id
         self.repeated_purge_count = 0
-        self.reports: list[dict[str, Any]] = []  # first pages, the latest last
-        self.rows: dict[str, dict[str, Any]] = {}  # the latest row of each director
+        self.reports: list[dict[str, Any]] = []  # the first page of each report, in order of receipt
+        self.rows: dict[str, dict[str, Any]] = {}  # the latest row of each director, by its name
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> tuple[str, int]:
@@ -61,11 +61,11 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Handles one operation and answers it, unless it is an accepted announcement of a token."""
+        """Handles one operation and responds to it, unless it is an accepted announcement of a token."""
         if self.is_unresponsive:
             return
         now_ms = time.time() * 1000.0
-        operation = self._open(data, now_ms)
+        operation = self._verify(data, now_ms)
         if operation is None:
             self.malformed_count += 1
             return
@@ -88,7 +88,7 @@
         if self.transport is not None:
             self.transport.close()
 
-    def _open(self, data: bytes, now_ms: float) -> FencedOperation | None:
+    def _verify(self, data: bytes, now_ms: float) -> FencedOperation | None:
         verified = self.authenticator.verify(data, now_ms)
         if isinstance(verified, DropReason):
             return None
@@ -100,9 +100,9 @@
 
     def _perform(self, operation: FencedOperation) -> None:
         if operation.task == PURGE_TASK:
-            done = CompletedPurge(operation.body.decode(), operation.token, operation.holder)
+            completed = CompletedPurge(operation.body.decode(), operation.token, operation.holder)
             self.repeated_purge_count += operation.operation_id in self.purges
-            self.purges.setdefault(operation.operation_id, done)
+            self.purges.setdefault(operation.operation_id, completed)
         elif operation.task == REPORT_TASK:
             body = json.loads(operation.body)
             self.rows.update({row["name"]: row for row in body["rows"]})
--- a/gladewalk/faultnet/fleet.py
+++ b/gladewalk/faultnet/fleet.py
@@ -1,9 +1,9 @@
-"""A fleet of directors as processes on loopback, each ordered pair of them joined by relays.
+"""A fleet of directors as processes on loopback, with relays between each ordered pair of them.
 
-A director dials every other one at the relay of that ordered pair, so each direction can be cut, made lossy
-or slow alone; lease messages, membership datagrams and membership's exchanges over TCP obey one path. Signals
-are real: SIGSTOP and SIGCONT, SIGKILL, SIGTERM. A restart keeps the name, the ports and the store. Each
-director's lease clock may run fast or slow (`clock_rate`).
+A director sends to every other one through the relay of that ordered pair, so that each direction can be cut,
+made lossy or slowed on its own. One path applies to lease messages, membership datagrams and membership's
+exchanges over TCP. The processes get real signals: SIGSTOP and SIGCONT, SIGKILL, SIGTERM. A restarted
+director keeps its name, ports and store. Each director's lease clock may run fast or slow (`clock_rate`).
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Link:
-    """The path of one ordered pair and the relays that obey it."""
+    """The network path of one ordered pair, and the relays that apply its effects."""
 
     path: NetworkPath = field(default_factory=NetworkPath)
     leases: DatagramRelay | None = None
@@ -59,13 +59,13 @@
     """Starts, signals and queries directors that run as processes with their files in one folder.
 
     Args:
-        folder: Where option files, logs, sockets and stores of the directors are.
-        names: The directors.
+        folder: The folder of the directors' option files, logs, sockets and stores.
+        names: The directors' names.
         config: The platform configuration (`NODE_CONFIG`) without the name.
-        seed: Of the relays' random draws.
-        leases: What the directors' table `leases` has beside what the fleet sets itself; None: it is off.
+        seed: The seed of the relays' random draws.
+        leases: Settings of the table `leases`, added to those that the fleet sets; None: leases are off.
         members: The same for the table `members`.
-        more: Further tables of the directors' settings.
+        extra_tables: Further tables of the directors' settings.
     """
 
     def __init__(
@@ -76,11 +76,11 @@
         seed: int,
         leases: dict[str, Any] | None,
         members: dict[str, Any] | None = None,
-        more: dict[str, Any] | None = None,
+        extra_tables: dict[str, Any] | None = None,
     ) -> None:
         self.folder, self.names = folder, names
         self._config = config
-        self._leases_table, self._members_table, self._more_tables = leases, members, more or {}
+        self._leases_table, self._members_table, self._extra_tables = leases, members, extra_tables or {}
         self._rng = random.Random(seed)
         keys_path = folder / "keys"
         keys_path.write_text(secrets.token_hex(KEY_BYTES))
@@ -131,7 +131,7 @@
 
     def build_options(self, name: str, clock_rate: float) -> dict[str, Any]:
         """Returns the tables of a director's option file."""
-        options: dict[str, Any] = {"control": {"socket": f"{name}.sock"}, **self._more_tables}
+        options: dict[str, Any] = {"control": {"socket": f"{name}.sock"}, **self._extra_tables}
         if self._leases_table is not None:
             options["store"] = {"folder": f"{name}.store", "warm_ms": 0.0}
             options["leases"] = self._build_leases_table(name, clock_rate)
@@ -167,7 +167,7 @@
             if other != name:
                 relay_address = format_address(self.links[name, other].members_address)
                 dial[own_addresses[other]] = relay_address
-                # What comes by a relay is answered through the relay of the other direction.
+                # A response to a message from a relay is sent through the relay of the other direction.
                 dial[format_address(self.links[other, name].members_address)] = relay_address
         return {
             "listen": own_addresses[name],
@@ -178,7 +178,7 @@
         }
 
     async def start(self, name: str, clock_rate: float | None = None) -> None:
-        """Starts a director whose lease clock runs at `clock_rate`; a restart keeps the rate."""
+        """Starts a director whose lease clock has rate `clock_rate`; None: its last rate, at first 1."""
         clock_rate = self._clock_rates.get(name, 1.0) if clock_rate is None else clock_rate
         self._clock_rates[name] = clock_rate
         options_path, config_path = self.folder / f"{name}.toml", self.folder / f"{name}.json"
@@ -204,7 +204,7 @@
         process = self._processes.pop(name, None)
         if process is not None:
             if process.returncode is None:
-                process.send_signal(signal.SIGCONT)  # a stopped process dies as well
+                process.send_signal(signal.SIGCONT)  # so that a stopped process ends, too
                 process.kill()
             await process.wait()
 
@@ -215,7 +215,7 @@
         return await process.wait()
 
     async def query(self, name: str, view: str, **arguments: Any) -> Any:
-        """Returns the answer of a director's control socket; raises `ControlError` if there is none."""
+        """Returns the response of a director's control socket; raises `ControlError` if there is none."""
         return await asyncio.to_thread(query_director, self.folder / f"{name}.sock", view, **arguments)
 
     def read_log(self, name: str) -> list[dict[str, Any]]:
@@ -225,7 +225,7 @@
         for line in lines:
             try:
                 events.append(json.loads(line))
-            except ValueError:  # a line that a kill cut short
+            except ValueError:  # a line that a kill has truncated
                 continue
         return events
 
@@ -247,7 +247,7 @@
         return check_resources([resource.fence.records for resource in self.resources], end_ms, excused)
 
     def observed_changes(self) -> list[ObservedChange]:
-        """Returns what all directors logged about one another's state."""
+        """Returns the changes of one another's state that the directors have logged."""
         return [change for name in self.names for change in changes_from_log(name, self.read_log(name))]
 
     async def close(self) -> None:
--- a/gladewalk/faultnet/membership_cases.py
+++ b/gladewalk/faultnet/membership_cases.py
@@ -1,7 +1,7 @@
-"""Fault schedules that membership must bear, played to processes and to a simulated network alike.
+"""Fault schedules that membership must tolerate, run against processes and against a simulated network.
 
-Each names the members that it concerns by their index (0 and 1 are the seeds of all). In none of them may a
-live member be declared dead unexpectedly; in some the victim must be declared dead by all others.
+Each case has its targets by their index among the members (0 and 1 are the seeds of all members). In no case
+may a live member be declared dead unexpectedly; in some the target must be declared dead by all others.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     duration_ms: float
     target_indexes: tuple[int, ...] = ()
     amount: float = 0.0
-    must_be_declared_dead: bool = False  # all others must declare the first victim dead meanwhile
-    is_partition: bool = False  # the victims are the smaller side: two of five, in proportion to the fleet
+    must_be_declared_dead: bool = False  # all others must declare the first target dead meanwhile
+    is_partition: bool = False  # the targets are two fifths of the fleet, which is its smaller side
 
     def faults(self, names: tuple[str, ...], at_ms: float = 0.0) -> list[Fault]:
         """Returns the schedule for a fleet of these names, beginning at `at_ms`."""
-        victims = tuple(names[index] for index in self.target_indexes if index < len(names))
+        targets = tuple(names[index] for index in self.target_indexes if index < len(names))
         if self.is_partition:
-            victims = names[: max(1, len(names) * 2 // 5)]
-        return [Fault(at_ms, self.duration_ms, self.kind, victims, self.amount)]
+            targets = names[: max(1, len(names) * 2 // 5)]
+        return [Fault(at_ms, self.duration_ms, self.kind, targets, self.amount)]
 
 
 CASES = (
--- a/gladewalk/faultnet/nemesis.py
+++ b/gladewalk/faultnet/nemesis.py
@@ -1,4 +1,4 @@
-"""Plays a schedule of faults to a `Fleet`: signals to its processes, effects on its network paths."""
+"""Runs a schedule of faults against a `Fleet`: signals to its processes, effects on its network paths."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def path_effect(fault: Fault) -> PathEffect:
-    """Returns what a fault does to each path that it is on."""
+    """Returns the effect of a fault on each path that it changes."""
     match fault.kind:
         case FaultKind.LOSS:
             return PathEffect(loss_rate=fault.amount)
@@ -27,7 +27,7 @@
 
 
 @contextmanager
-def _effect_in_force(paths: list[NetworkPath], effect: PathEffect) -> Iterator[None]:
+def _apply_effect(paths: list[NetworkPath], effect: PathEffect) -> Iterator[None]:
     for path in paths:
         path.effects.append(effect)
     try:
@@ -37,27 +37,27 @@
             path.effects.remove(effect)
 
 
-async def _disturb_paths(fleet: Fleet, fault: Fault) -> None:
+async def _affect_paths(fleet: Fleet, fault: Fault) -> None:
     paths, effect = fleet.select_paths(affected_pairs(fault, fleet.names)), path_effect(fault)
     if fault.kind is FaultKind.FLAP:
         await _flap_paths(paths, effect, fault)
         return
-    with _effect_in_force(paths, effect):
+    with _apply_effect(paths, effect):
         await asyncio.sleep(fault.duration_ms / 1000.0)
 
 
 async def _flap_paths(paths: list[NetworkPath], effect: PathEffect, fault: Fault) -> None:
-    """Cuts and restores the paths in turns of `amount` ms, until the fault's end."""
+    """Cuts and restores the paths alternately, for `amount` ms each, until the fault's end."""
     end_s = time.monotonic() + fault.duration_ms / 1000.0
     half_period_s = fault.amount / 1000.0
-    while (left_s := end_s - time.monotonic()) > 0.0:
-        with _effect_in_force(paths, effect):
-            await asyncio.sleep(min(half_period_s, left_s))
+    while (remaining_s := end_s - time.monotonic()) > 0.0:
+        with _apply_effect(paths, effect):
+            await asyncio.sleep(min(half_period_s, remaining_s))
         await asyncio.sleep(min(half_period_s, max(0.0, end_s - time.monotonic())))
 
 
 async def inject_fault(fleet: Fleet, fault: Fault) -> None:
-    """Plays one fault from now to its end."""
+    """Injects one fault now; returns at its end."""
     match fault.kind:
         case FaultKind.PAUSE:
             fleet.signal(fault.targets[0], signal.SIGSTOP)
@@ -65,7 +65,7 @@
             await fleet.kill(fault.targets[0])
         case FaultKind.STOP:
             await fleet.stop(fault.targets[0])
-    await _disturb_paths(fleet, fault)
+    await _affect_paths(fleet, fault)
     match fault.kind:
         case FaultKind.PAUSE:
             fleet.signal(fault.targets[0], signal.SIGCONT)
@@ -74,11 +74,11 @@
 
 
 async def run_schedule(fleet: Fleet, faults: list[Fault]) -> None:
-    """Plays every fault at its time from now; returns when the last is over."""
+    """Injects every fault at its time, counted from now; returns when all have ended."""
     started_s = time.monotonic()
 
-    async def play_in_time(fault: Fault) -> None:
+    async def inject_at_time(fault: Fault) -> None:
         await asyncio.sleep(max(0.0, fault.at_ms / 1000.0 - (time.monotonic() - started_s)))
         await inject_fault(fleet, fault)
 
-    await asyncio.gather(*(play_in_time(fault) for fault in faults))
+    await asyncio.gather(*(inject_at_time(fault) for fault in faults))
--- a/gladewalk/faultnet/relay.py
+++ b/gladewalk/faultnet/relay.py
@@ -1,7 +1,7 @@
-"""Relays that stand between two directors and apply the faults in force on the path between them.
+"""Relays between two directors, which apply the current faults of the path between them.
 
-A relay passes on what is sent to its port, or drops, duplicates, delays or holds it back. Each direction has
-a path of its own, so that one can be cut alone.
+A relay forwards data that is sent to its port, or drops, duplicates or delays it, or buffers it until a cut
+ends. Each direction has a path of its own, so that it can be cut alone.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 BACKLOG = 100  # connections
 READ_BYTES = 65_536
 LOOPBACK = "127.0.0.1"
-PORT_RANGE = (20_000, 32_000)  # below the range out of which the system gives ports
+PORT_RANGE = (20_000, 32_000)  # below the range from which the system assigns ports
 
 
 @dataclass(slots=True, frozen=True)
 class PathEffect:
-    """What one fault does to a path. Effects that overlap on a path add up and end each by itself."""
+    """The effect of one fault on a path. Effects on one path add up, and each ends independently."""
 
     is_cut: bool = False
     loss_rate: float = 0.0  # fraction of datagrams that are dropped
     duplicate_rate: float = 0.0  # fraction of datagrams that are sent twice
     delay_ms: float = 0.0
-    jitter_ms: float = 0.0  # drawn for each datagram from 0 to here, so that datagrams are reordered
+    jitter_ms: float = 0.0  # largest additional delay, drawn for each datagram, so that they are reordered
 
 
 @dataclass(slots=True)
 class NetworkPath:
-    """One direction between two directors, with the effects in force on all that passes."""
+    """One direction between two directors, with the current effects on all its data."""
 
     effects: list[PathEffect] = field(default_factory=list)
 
@@ -55,12 +55,12 @@
         return 1 + sum(rng.random() < effect.duplicate_rate for effect in self.effects)
 
     def draw_delay_ms(self, rng: random.Random) -> float:
-        """Draws how long a datagram or a piece of a stream takes."""
+        """Draws the delay of a datagram or a piece of a stream."""
         return sum(effect.delay_ms + rng.uniform(0.0, effect.jitter_ms) for effect in self.effects)
 
 
 class DatagramRelay(asyncio.DatagramProtocol):
-    """Passes datagrams from a port of its own to `target`, as `path` allows."""
+    """Forwards datagrams from a port of its own to `target`, with the effects of `path`."""
 
     def __init__(self, target: Address, rng: random.Random, path: NetworkPath) -> None:
         self._target, self._rng, self._path = target, rng, path
@@ -79,7 +79,7 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Drops a datagram, or sends each of its copies on after its delay (asyncio's callback)."""
+        """Drops a datagram, or forwards each of its copies after its delay (asyncio's callback)."""
         self.received_datagrams += 1
         self.received_bytes += len(data)
         if self._path.draw_loss(self._rng):
@@ -104,12 +104,12 @@
 
 
 class StreamRelay:
-    """Passes TCP connections to `target`; the bytes of each direction obey that direction's path.
+    """Forwards TCP connections to `target`; each direction's bytes have the effects of that direction's path.
 
-    A cut holds bytes back and loses none, as TCP does; the endpoints' own timeouts end the connection. While
-    either direction is cut nobody can connect, and nobody is refused: the accept queue is full, and the
-    kernel drops what comes to a full queue, as a path that loses everything would. Where nobody listens at
-    the target, a connection is closed at once.
+    During a cut bytes are buffered and none is lost, as with TCP; the endpoints' own timeouts end the
+    connection. While either direction is cut, connection attempts are neither accepted nor refused: the
+    accept queue is full, and the kernel drops packets to a full queue, as a path that loses everything would.
+    If no process listens at the target, a connection is closed at once.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         self._forward_path, self._backward_path = forward_path, backward_path
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._queue_filler: socket.socket | None = None  # takes the one place of the accept queue
+        self._queue_filler: socket.socket | None = None  # fills the accept queue, which has one place
 
     async def open(self, port: int) -> None:
         """Listens at a port."""
@@ -145,7 +145,7 @@
 
     def _stop_accepting(self) -> None:
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
-        self._socket.listen(0)  # a queue of one, which the filler takes
+        self._socket.listen(0)  # an accept queue of one place, which the filler occupies
         self._queue_filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._queue_filler.setblocking(False)
         self._queue_filler.connect_ex(self._socket.getsockname())
@@ -155,7 +155,7 @@
             self._queue_filler.close()
             self._queue_filler = None
             while self._accept_next() is not None:
-                pass  # whoever connected during the cut has given up
+                pass  # discards connections of clients that have timed out during the cut
         self._socket.listen(BACKLOG)
         asyncio.get_running_loop().add_reader(self._socket.fileno(), self._accept)
 
@@ -174,7 +174,7 @@
         reader, writer = await asyncio.open_connection(sock=connection)
         target_writer: asyncio.StreamWriter | None = None
         try:
-            with contextlib.suppress(OSError):  # nobody listens there, or either end is gone
+            with contextlib.suppress(OSError):  # nothing listens at the target, or an endpoint has closed
                 target_reader, target_writer = await asyncio.open_connection(*self._target)
                 await asyncio.gather(
                     self._copy(reader, target_writer, self._forward_path),
@@ -207,7 +207,8 @@
         self._socket.close()
 
 
-_assigned_ports: set[int] = set()  # by this process: some are bound by a director that is yet to start
+# The ports that `free_port` has returned. A director may bind its port later, so that a probe finds it free.
+_assigned_ports: set[int] = set()
 
 
 def free_port() -> int:
--- a/gladewalk/faultnet/schedule.py
+++ b/gladewalk/faultnet/schedule.py
@@ -1,19 +1,19 @@
-"""Seeded schedules of faults, stored as TOML; `nemesis` plays them to processes, simulations in memory.
+"""Seeded schedules of faults, stored as TOML; run by `nemesis` against processes, or by simulations.
 
     [[fault]]
-    at_ms = 3000.0      # from the start of the schedule
+    at_ms = 3000.0      # time after the start of the schedule
     ms = 2500.0         # duration
     kind = "pause"      # see FaultKind
     who = ["n0"]
-    amount = 0.3        # fraction of datagrams, ms of delay and of jitter, or ms of half a flap
+    amount = 0.3        # fraction of datagrams, ms of delay and of jitter, or ms of each phase of a flap
 
-    pause       SIGSTOP, then SIGCONT          cut_out    receives, but nothing that it sends arrives
+    pause       SIGSTOP, then SIGCONT          cut_out    receives, but everything that it sends is lost
     kill        SIGKILL, then a start          cut_in     sends, but receives nothing
-    stop        SIGTERM, then a start          link       from the first of `who` to the second, one way
-    partition   `who` against the others       flap       both ways between two, cut and restored in turns
+    stop        SIGTERM, then a start          link       a cut from the first of `who` to the second, one way
+    partition   `who` cut off from the others  flap       alternating cuts between two directors, both ways
     loss, double, delay   on every path
 
-The same seed gives the same schedule. Faults may overlap: each ends by itself.
+The same seed gives the same schedule. Faults may overlap, and each ends independently.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault does; the values stand in schedule files."""
+    """The kind of a fault; the values are written in schedule files."""
 
     PAUSE = "pause"
     KILL = "kill"
@@ -75,7 +75,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A schedule file: one table `fault` for each fault."""
+    """A schedule file, with one table `fault` for each fault."""
 
     fault: list[Fault] = []
 
@@ -109,15 +109,15 @@
 
 
 def encode_schedule(faults: list[Fault]) -> str:
-    """Renders a schedule as the text of its file."""
+    """Returns a schedule as the text of its file."""
     return tomli_w.dumps(msgspec.to_builtins(Schedule(faults)))
 
 
 def load_schedule(path: Path) -> list[Fault]:
-    """Reads a schedule's file; the faults come in the order of their start.
+    """Reads a schedule's file; returns the faults in the order of their start.
 
     Raises:
-        ConfigError: The file cannot be read or is no schedule.
+        ConfigError: The file cannot be read or is not a schedule.
     """
     return sorted(load_toml(path, Schedule).fault, key=lambda fault: fault.at_ms)
 
@@ -125,19 +125,19 @@
 def affected_pairs(fault: Fault, names: tuple[str, ...]) -> set[Pair]:
     """Returns the ordered pairs (sender, receiver) of directors whose paths a fault changes."""
     targets = fault.targets
-    every = {(sender, receiver) for sender in names for receiver in names if sender != receiver}
+    all_pairs = {(sender, receiver) for sender in names for receiver in names if sender != receiver}
     match fault.kind:
         case FaultKind.CUT_OUT:
-            return {pair for pair in every if pair[0] == targets[0]}
+            return {pair for pair in all_pairs if pair[0] == targets[0]}
         case FaultKind.CUT_IN:
-            return {pair for pair in every if pair[1] == targets[0]}
+            return {pair for pair in all_pairs if pair[1] == targets[0]}
         case FaultKind.PARTITION:
-            return {pair for pair in every if (pair[0] in targets) != (pair[1] in targets)}
+            return {pair for pair in all_pairs if (pair[0] in targets) != (pair[1] in targets)}
         case FaultKind.LINK:
             return {(targets[0], targets[1])}
         case FaultKind.FLAP:
             return {(targets[0], targets[1]), (targets[1], targets[0])}
         case FaultKind.LOSS | FaultKind.DUPLICATE | FaultKind.DELAY:
-            return every
+            return all_pairs
         case FaultKind.PAUSE | FaultKind.KILL | FaultKind.STOP:
             return set()
