--- a/tests/test_fault_points.py
+++ b/tests/test_fault_points.py
@@ -1,4 +1,4 @@
-"""One fault at each numbered point: what we ship holds, and each faulty copy is found at some point."""
+"""One fault at each numbered point: the invariants hold, and each faulty copy violates them at some point."""
 
 import contextlib
 from collections.abc import Callable
@@ -18,51 +18,53 @@
 from gladewalk.store.segmented_log import SegmentedLog
 
 
-def test_one_fault_at_a_few_passes_of_each_point_breaks_nothing() -> None:
+def test_one_fault_at_a_few_passes_of_each_point_violates_nothing() -> None:
     report = sweep(SCENARIOS, max_per_point=2)
     assert [violation.line() for violation in report.violations] == []
     assert report.unreached == []
     assert report.run_count >= 2 * len(CATALOGUE)
 
 
-def test_the_points_of_a_run_are_the_same_each_time_and_a_run_stops_at_its_fault() -> None:
-    for name, play in SCENARIOS:
-        first = count_passes(play, name)
-        assert first == count_passes(play, name)
+def test_each_run_passes_the_same_points_up_to_its_fault() -> None:
+    for name, run_scenario in SCENARIOS:
+        first = count_passes(run_scenario, name)
+        assert first == count_passes(run_scenario, name)
         last = first[-1]
         injector = FaultInjector(last.number, last.point.kinds[0])
-        play(injector)
+        run_scenario(injector)
         assert injector.is_fault_injected and injector.passes[: len(first)] == first
     with pytest.raises(UnlistedPointError):
         FaultInjector().record_pass("store.disk.burn")
 
 
-def test_a_point_that_no_run_reaches_is_told() -> None:
+def test_a_point_that_no_run_reaches_is_reported() -> None:
     report = sweep(SCENARIOS[:1], max_per_point=1)
     assert "members.dial.knock" in report.unreached and "store.disk.sync" not in report.unreached
     assert report.line().endswith(f"unreached={len(report.unreached)}")
 
 
 def test_the_sample_of_passes_is_spread_over_the_whole_run() -> None:
-    passed = count_passes(store_scenario.run_scenario, "store")
-    some = sample_passes(passed, 3)
-    syncs = [one.occurrence for one in some if one.point.name == "store.disk.sync"]
-    assert len(syncs) == 3 and syncs[0] == 0 and syncs[-1] > 10
-    assert sample_passes(passed, None) == passed
+    passes = count_passes(store_scenario.run_scenario, "store")
+    sample = sample_passes(passes, 3)
+    sync_occurrences = [
+        point_pass.occurrence for point_pass in sample if point_pass.point.name == "store.disk.sync"
+    ]
+    assert len(sync_occurrences) == 3 and sync_occurrences[0] == 0 and sync_occurrences[-1] > 10
+    assert sample_passes(passes, None) == passes
 
 
 # Copies with a fault.
 
 
 class UnsyncedLog(SegmentedLog):
-    """Acknowledges what was written and not synced."""
+    """Acknowledges written changes without a sync."""
 
     def prepare_batch(self, is_synced: bool = True) -> WriteBatch | None:
         return super().prepare_batch(False)
 
 
 class ErrorIgnoringLog(SegmentedLog):
-    """Acknowledges what the disk rejected."""
+    """Acknowledges changes that the disk rejected."""
 
     def commit(self) -> int:
         batch = self.prepare_batch()
@@ -81,8 +83,8 @@
         super().__init__(disk, *more)
 
 
-class Open(Fence):
-    """A sink that lets every token pass."""
+class OpenFence(Fence):
+    """A fence that accepts every token."""
 
     def admit(
         self, task: str, token: int, holder: str, performed_at_ms: float, received_at_ms: float, **more: Any
@@ -91,24 +93,24 @@
         return True
 
 
-def open_sink(world: lease_scenario.FaultPointSimulation) -> None:
-    world.fence = Open()
+def replace_fence(simulation: lease_scenario.FaultPointSimulation) -> None:
+    simulation.fence = OpenFence()
 
 
-def tireless(world: lease_scenario.FaultPointSimulation) -> None:
-    """Holders that go on acting after a stop without a look at their clock."""
-    resume = world.pause
+def extend_leases_on_pause(simulation: lease_scenario.FaultPointSimulation) -> None:
+    """Makes holders continue their operations after a pause without checking their clock."""
+    original_pause = simulation.pause
 
     def pause(name: str, duration_ms: float) -> None:
-        director = world.directors[name]
-        for held in director.candidate.leases.values():
-            held.expires_at_ms += 2.0 * duration_ms
-        resume(name, duration_ms)
+        director = simulation.directors[name]
+        for lease in director.candidate.leases.values():
+            lease.expires_at_ms += 2.0 * duration_ms
+        original_pause(name, duration_ms)
 
-    world.pause = pause  # type: ignore[method-assign]
+    simulation.pause = pause  # type: ignore[method-assign]
 
 
-def found(
+def violated_points(
     scenario: Callable[[FaultInjector], str], name: str, max_per_point: int
 ) -> set[tuple[str, FaultKind]]:
     report = sweep([(name, scenario)], max_per_point)
@@ -117,15 +119,15 @@
 
 @pytest.mark.parametrize("log_type", [UnsyncedLog, ErrorIgnoringLog, UnsyncedDirectoryLog])
 def test_a_broken_store_is_found(log_type: type[SegmentedLog]) -> None:
-    assert found(lambda injector: store_scenario.run_scenario(injector, log_type), "store", 40)
+    assert violated_points(lambda injector: store_scenario.run_scenario(injector, log_type), "store", 40)
 
 
-@pytest.mark.parametrize("change", [open_sink, tireless])
+@pytest.mark.parametrize("change", [replace_fence, extend_leases_on_pause])
 def test_broken_leases_are_found(change: Callable[[lease_scenario.FaultPointSimulation], None]) -> None:
-    assert found(lambda injector: lease_scenario.run_scenario(injector, change), "leases", 12)
+    assert violated_points(lambda injector: lease_scenario.run_scenario(injector, change), "leases", 12)
 
 
-def test_hasty_verdicts_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_premature_death_verdicts_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         suspicion_monitor, "decide_expired_suspicion", lambda *_: (SuspicionDecision.DEAD, 0.0)
     )
@@ -134,10 +136,10 @@
         "consult_peers",
         lambda self, suspect, now_ms: setattr(suspect, "has_consulted_peers", True),
     )
-    assert found(membership_scenario.run_scenario, "members", 6)
+    assert violated_points(membership_scenario.run_scenario, "members", 6)
 
 
-def test_members_that_believe_no_later_run_do_not_even_hold_without_a_fault(
+def test_members_that_ignore_later_runs_fail_even_without_a_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     supersedes = gossip_state.supersedes
