--- a/tests/store/conftest.py
+++ b/tests/store/conftest.py
@@ -17,5 +17,5 @@
 
 @pytest.fixture
 def history() -> History:
-    """A store with every kind of record, and each state that it acknowledged."""
+    """A store with every kind of record, and each of its acknowledged states."""
     return History()
--- a/tests/store/support.py
+++ b/tests/store/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the store share: a fixed clock, small segments, a store with a history, async tests."""
+"""Helpers of the store's tests: a fixed clock, small segments, a store with a history, async tests."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def disk_with(files: dict[str, bytes]) -> FaultyDisk:
-    """A disk on which all of these files are durable."""
+    """Returns a disk on which all of these files are durable."""
     disk = FaultyDisk()
     disk.files = {name: FaultyFile(bytearray(data), data) for name, data in files.items()}
     disk.durable_names = dict(disk.files)
@@ -54,7 +54,7 @@
 
 
 def fail_writes(code: int) -> Callable[[str, str, int], int]:
-    """A fault rule: no file can be created or grow."""
+    """Returns a fault rule: no file can be created or appended to."""
     return lambda operation, name, number: code if operation in ("append", "create") else 0
 
 
@@ -63,13 +63,14 @@
     """A store with every kind of record, several segments and a compaction."""
 
     disk: FaultyDisk = field(default_factory=FaultyDisk)
-    acknowledged: list[tuple[int, Values]] = field(default_factory=lambda: [(0, {})])  # by sequence
+    # Each acknowledged sequence number, and the values after it.
+    acknowledged: list[tuple[int, Values]] = field(default_factory=lambda: [(0, {})])
 
     def __post_init__(self) -> None:
         self.log = open_log(self.disk)
-        draw = random.Random(3)
+        rng = random.Random(3)
         for number in range(40):
-            self.log.put("purge", f"k{number % 9}", bytes([number]) * draw.randrange(1, 30))
+            self.log.put("purge", f"k{number % 9}", bytes([number]) * rng.randrange(1, 30))
             if number % 5 == 0:
                 self.log.delete("purge", f"k{(number + 4) % 9}")
             if number % 7 == 0:
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -1,4 +1,4 @@
-"""Which segments are compacted, and that a store stays under its limit."""
+"""The choice of segments to compact, and the size limit of a store."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     sealed = [SegmentUsage(1, 1_000, 900), SegmentUsage(2, 1_000, 100), SegmentUsage(3, 1_000, 950)]
     assert choose_compaction_prefix(sealed, 3_000, 1_000_000) == 2
     assert choose_compaction_prefix(sealed[:1], 1_000, 1_000_000) is None
-    assert choose_compaction_prefix(sealed[:1], 1_000, 1_100) == 1  # near the limit less will do
+    assert choose_compaction_prefix(sealed[:1], 1_000, 1_100) == 1  # near the limit less garbage suffices
     assert choose_compaction_prefix([], 0, 100) is None
 
 
-def test_a_store_stays_under_its_limit_while_keys_are_written_again(disk: FaultyDisk) -> None:
+def test_a_store_stays_below_its_limit_while_keys_are_overwritten(disk: FaultyDisk) -> None:
     config = LogConfig(max_segment_bytes=4_096, max_total_bytes=32_768)
     log = open_log(disk, config)
     max_bytes = 0
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Disks that reject calls, and crashes in the middle of a compaction: nothing acknowledged is lost."""
+"""Disks that reject calls, and crashes during a compaction: no acknowledged change is lost."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     pass
 
 
-def write_over_a_fault(disk: FaultyDisk, fail_at: int, code: int) -> Values:
-    """Writes and compacts on a disk that rejects one call; what was acknowledged."""
+def write_despite_a_fault(disk: FaultyDisk, fail_at: int, code: int) -> Values:
+    """Writes and compacts on a disk that rejects one call; returns the acknowledged values."""
     disk.fault_rule = lambda operation, name, number: code if number == fail_at else 0
     acknowledged: Values = {}
     try:
@@ -30,7 +30,7 @@
         try:
             log.commit()
         except OSError:
-            continue  # the next commit writes it, too
+            continue  # the next commit writes the rejected changes as well
         acknowledged = {("s", f"k{earlier}"): bytes([earlier]) * 60 for earlier in range(number + 1)}
         try:
             if number in (7, 11):
@@ -41,25 +41,25 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
-def test_a_rejection_of_any_call_loses_nothing_that_was_acknowledged(code: int) -> None:
-    calm = FaultyDisk()
-    assert len(write_over_a_fault(calm, -1, 0)) == 14
-    assert calm.call_count > 40
-    for fail_at in range(1, calm.call_count + 1):
+def test_an_error_of_any_call_loses_no_acknowledged_change(code: int) -> None:
+    fault_free = FaultyDisk()
+    assert len(write_despite_a_fault(fault_free, -1, 0)) == 14
+    assert fault_free.call_count > 40
+    for fail_at in range(1, fault_free.call_count + 1):
         for seed in range(3):
             disk = FaultyDisk()
-            acknowledged = write_over_a_fault(disk, fail_at, code)
-            found = values_in(open_log(disk.after_kill() if seed == 0 else disk.after_power_loss(seed)))
-            lost = {slot for slot, value in acknowledged.items() if found.get(slot) != value}
+            acknowledged = write_despite_a_fault(disk, fail_at, code)
+            recovered = values_in(open_log(disk.after_kill() if seed == 0 else disk.after_power_loss(seed)))
+            lost = {key for key, value in acknowledged.items() if recovered.get(key) != value}
             assert not lost, (fail_at, seed, lost)
 
 
 def test_a_crash_at_every_step_of_a_compaction_changes_nothing(history: History) -> None:
-    before = history.disk.call_count
+    calls_before = history.disk.call_count
     history.log.compact(sorted(history.log.segments)[-2])
-    steps = history.disk.call_count - before
-    assert steps >= 6
-    for step in range(1, steps + 1):
+    step_count = history.disk.call_count - calls_before
+    assert step_count >= 6
+    for step in range(1, step_count + 1):
         for seed in range(8):
             crash_in_compaction(step, seed)
 
@@ -77,14 +77,14 @@
     with pytest.raises(CrashError):
         history.log.compact(sorted(history.log.segments)[-2])
     disk.fault_rule = never_fail
-    after = disk.after_kill() if seed == 0 else disk.after_power_loss(seed)
-    found = open_log(after)
-    assert values_in(found) == history.final_values, (step, seed)
-    found.compact(max(found.segments))
-    assert values_in(open_log(after.after_power_loss(seed))) == history.final_values
+    disk_after_crash = disk.after_kill() if seed == 0 else disk.after_power_loss(seed)
+    recovered = open_log(disk_after_crash)
+    assert values_in(recovered) == history.final_values, (step, seed)
+    recovered.compact(max(recovered.segments))
+    assert values_in(open_log(disk_after_crash.after_power_loss(seed))) == history.final_values
 
 
-def test_what_waits_for_a_full_disk_is_bounded_and_is_written_later(disk: FaultyDisk) -> None:
+def test_pending_changes_for_a_full_disk_are_bounded_and_written_later(disk: FaultyDisk) -> None:
     log = open_log(disk, LogConfig())
     log.put("s", "first", b"1")
     log.commit()
--- a/tests/store/test_maintenance.py
+++ b/tests/store/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The store's directory and the commands for a store that nobody has open."""
+"""The store's directory, and the commands for a store that no process has open."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return SegmentedLog(directory, lambda: NOW_MS, SMALL)
 
 
-def test_a_directory_holds_a_store_and_lets_one_process_in(tmp_path: Path) -> None:
+def test_a_directory_has_a_store_that_one_process_can_open(tmp_path: Path) -> None:
     directory = StoreDirectory(tmp_path / "store")
     log = open_directory(directory)
     for number in range(50):
@@ -33,17 +33,17 @@
     with pytest.raises(StoreLockedError, match="another process holds this store"):
         StoreDirectory(tmp_path / "store")
     directory.close()
-    again = StoreDirectory(tmp_path / "store")
-    assert values_in(open_directory(again)) == values_in(log)
-    again.close()
+    reopened = StoreDirectory(tmp_path / "store")
+    assert values_in(open_directory(reopened)) == values_in(log)
+    reopened.close()
 
 
 @pytest.fixture
 def run(tmp_path: Path) -> Run:
-    """Runs a command on the store in `tmp_path`; its exit code and output."""
+    """Runs a command on the store in `tmp_path`; returns its exit code and output."""
 
-    def run_command(*words: str) -> tuple[int, str]:
-        result = CliRunner().invoke(gladewalk, ["store", *words, str(tmp_path)])
+    def run_command(*arguments: str) -> tuple[int, str]:
+        result = CliRunner().invoke(gladewalk, ["store", *arguments, str(tmp_path)])
         return result.exit_code, result.output
 
     return run_command
@@ -51,13 +51,13 @@
 
 @pytest.fixture
 def closed_log(tmp_path: Path, run: Run) -> SegmentedLog:
-    """The log of a store in `tmp_path` that nobody has open any longer."""
+    """The log of a store in `tmp_path` that has been closed."""
     directory = StoreDirectory(tmp_path)
     log = open_directory(directory)
     for number in range(KEY_COUNT):
         log.put("s", f"k{number}", b"value" if number else b"\xff", 0.0)
         log.commit()
-    assert run("check")[0] == 2  # a director has it open
+    assert run("check")[0] == 2  # the store is still open
     directory.close()
     return log
 
@@ -80,16 +80,16 @@
     tmp_path: Path, run: Run, closed_log: SegmentedLog
 ) -> None:
     assert run("compact")[0] == 0
-    victim = next(tmp_path.glob("*.c.seg"))
-    data = bytearray(victim.read_bytes())
+    damaged_file = next(tmp_path.glob("*.c.seg"))
+    data = bytearray(damaged_file.read_bytes())
     data[len(data) // 2] ^= 0xFF
-    victim.write_bytes(bytes(data))
+    damaged_file.write_bytes(bytes(data))
     code, text = run("check")
-    assert (code, f"damaged: {victim.name}: at byte" in text) == (2, True)
+    assert (code, f"damaged: {damaged_file.name}: at byte" in text) == (2, True)
     assert run("dump")[0] == 2
     code, text = run("repair")
     assert (code, "29 keys" in text, "nothing was changed" in text) == (1, True, True), text
     assert run("check")[0] == 2
     assert run("repair", "--accept-loss")[0] == 1
     assert (run("check")[0], len(run("dump")[1].splitlines())) == (0, KEY_COUNT - 1)
-    assert (tmp_path / "damaged-0" / victim.name).exists()
+    assert (tmp_path / "damaged-0" / damaged_file.name).exists()
--- a/tests/store/test_persistence.py
+++ b/tests/store/test_persistence.py
@@ -1,4 +1,4 @@
-"""What a director recorded before it was killed is in force after its restart."""
+"""State that a director stored before it was killed is restored after its restart."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 from .support import async_test
 
 
-async def answer_hit(heard: ReceivedRequest) -> None:
-    await heard.answer(200, b"copy", X_Remark="mem")
+async def respond_hit(request: ReceivedRequest) -> None:
+    await request.answer(200, b"copy", X_Remark="mem")
 
 
 def options_with(folder: Path, **tables: dict[str, Any]) -> Options:
@@ -59,44 +59,46 @@
     await director.persistence.close()
 
 
-async def start_peers(count: int) -> list[ScriptedServer]:
-    return [await ScriptedServer(answer_hit, f"c{number}").start() for number in range(count)]
+async def start_caches(count: int) -> list[ScriptedServer]:
+    return [await ScriptedServer(respond_hit, f"c{number}").start() for number in range(count)]
 
 
 @async_test
-async def test_a_purge_and_a_drain_outlast_a_kill_though_the_coordinator_is_gone(tmp_path: Path) -> None:
+async def test_a_purge_and_a_drain_outlast_a_kill_while_the_coordinator_is_unreachable(
+    tmp_path: Path,
+) -> None:
     options = options_with(tmp_path, store={"folder": "store"})
-    peers = await start_peers(3)
-    origin = await ScriptedServer(answer_hit, "o", "origin", "north").start()
+    caches = await start_caches(3)
+    origin = await ScriptedServer(respond_hit, "o", "origin", "north").start()
     coordinator = await Coordinator().start()
-    config = read_config(config_for([*peers, origin], coordinator), {})
+    config = read_config(config_for([*caches, origin], coordinator), {})
     first = await start_director(config, options)
     await wait_until(lambda: bool(coordinator.followed_from))
-    peers[0].state = "DRAINING"
-    coordinator.publish_endpoints(peers[0])
+    caches[0].state = "DRAINING"
+    coordinator.publish_endpoints(caches[0])
     coordinator.publish(evict={"ref": "a1", "unix_ms": read_wall_clock().unix_ms})
     persistence = first.persistence
     assert persistence is not None
     await wait_until(lambda: persistence.log.durable_sequence >= 2)
     coordinator.stop()
     stop_serving(first)
-    persistence.directory.close()  # as a kill does: nothing more is written
-    again = await start_director(config, options)
-    assert again.counters["store.purges_restored"] == 1
-    assert again.exchange.dispatcher.state.registry.servers["c0"].info.state is api.ServerState.DRAINING
-    await request_objects(again)
-    purged = [heard for peer in peers for heard in peer.received if "/a1/" in heard.path]
-    assert purged and all("no-older-than" in heard.headers for heard in purged)
-    assert peers[0].received == []
+    persistence.directory.close()  # nothing more is written, as after a kill
+    restarted = await start_director(config, options)
+    assert restarted.counters["store.purges_restored"] == 1
+    assert restarted.exchange.dispatcher.state.registry.servers["c0"].info.state is api.ServerState.DRAINING
+    await request_objects(restarted)
+    purged_requests = [request for cache in caches for request in cache.received if "/a1/" in request.path]
+    assert purged_requests and all("no-older-than" in request.headers for request in purged_requests)
+    assert caches[0].received == []
     with pytest.raises(ConfigError, match=r"t.toml: store.folder: .*another process holds this store"):
         Director(config, asyncio.get_running_loop(), None, options)
-    await stop_director(again)
-    for peer in (*peers, origin):
-        peer.stop()
+    await stop_director(restarted)
+    for cache in (*caches, origin):
+        cache.stop()
 
 
 async def request_objects(director: Director) -> None:
-    """Asks for the purged object a1 and for others, on connections of their own."""
+    """Requests the purged object a1 and other objects, each on a connection of its own."""
     for number in range(20):
         reader, writer = await asyncio.open_connection(*director.front.address)
         name = f"{number:x}" if number else "a1"
@@ -110,13 +112,14 @@
     tmp_path: Path,
 ) -> None:
     options = options_with(tmp_path, store={"folder": "s", "resume": True}, control={"socket": "c"})
-    peers = await start_peers(4)
+    caches = await start_caches(4)
     coordinator = await Coordinator().start()
-    config = read_config(config_for(peers[:3], coordinator), {})
+    config = read_config(config_for(caches[:3], coordinator), {})
     first = await start_director(config, options)
-    coordinator.publish_endpoints(peers[0], peers[3], is_complete=True)  # the others are listed no more
-    peers[3].state = "DRAINING"
-    coordinator.publish_endpoints(peers[3])
+    # The other caches are no longer listed.
+    coordinator.publish_endpoints(caches[0], caches[3], is_complete=True)
+    caches[3].state = "DRAINING"
+    coordinator.publish_endpoints(caches[3])
     coordinator.publish(evict={"ref": "a1", "unix_ms": read_wall_clock().unix_ms})
     await wait_until(lambda: first.endpoint_feed.last_index == 4)
     command = ["store", "status", "--socket", str(tmp_path / "c")]
@@ -125,62 +128,63 @@
     result = await asyncio.to_thread(CliRunner().invoke, gladewalk, command)
     assert re.search(r"feed kept up to event\W+4", result.output), result.output
     await stop_director(first)
-    again = await start_director(config, options)
-    servers = again.exchange.dispatcher.state.registry.servers
+    restarted = await start_director(config, options)
+    servers = restarted.exchange.dispatcher.state.registry.servers
     ready = {name for name, server in servers.items() if server.info.state is api.ServerState.READY}
     assert (ready, servers["c3"].info.state) == ({"c0"}, api.ServerState.DRAINING)
     await wait_until(lambda: len(coordinator.followed_from) == 2)
     assert coordinator.followed_from == [1, 4]
-    await stop_director(again)
-    other = await Coordinator().start()  # it counts from the beginning, and knows of three servers
-    other.publish_endpoints(*peers[:3], is_complete=True)
-    other.publish_endpoints(peers[1])
-    moved = dataclasses.replace(config, coordinator=read_address(other.address))
-    lost = await start_director(moved, options)
-    await wait_until(lambda: other.followed_from == [4])
-    other.send_raw(b"2\n")
-    await wait_until(lambda: lost.endpoint_feed.last_index == 2)
-    assert (other.followed_from, lost.counters["coordinator.numbering_back"]) == ([4, 1], 1)
-    await stop_director(lost)
+    await stop_director(restarted)
+    # This coordinator's event numbers start from 1, and it lists three servers.
+    other_coordinator = await Coordinator().start()
+    other_coordinator.publish_endpoints(*caches[:3], is_complete=True)
+    other_coordinator.publish_endpoints(caches[1])
+    config_with_other = dataclasses.replace(config, coordinator=read_address(other_coordinator.address))
+    redirected = await start_director(config_with_other, options)
+    await wait_until(lambda: other_coordinator.followed_from == [4])
+    other_coordinator.send_raw(b"2\n")
+    await wait_until(lambda: redirected.endpoint_feed.last_index == 2)
+    assert (other_coordinator.followed_from, redirected.counters["coordinator.numbering_back"]) == ([4, 1], 1)
+    await stop_director(redirected)
     coordinator.stop()
-    other.stop()
-    for peer in peers:
-        peer.stop()
+    other_coordinator.stop()
+    for cache in caches:
+        cache.stop()
 
 
 def partitions_with_locations(log: SegmentedLog) -> int:
-    """How many rows of the snapshot name one of the servers."""
+    """Returns how many rows of the snapshot include one of the servers."""
     names = (b"c0", b"c1", b"c2")
     return sum(any(name in value for name in names) for value in log.items("warm").values())
 
 
 @async_test
-async def test_a_lease_counts_over_a_restart_and_what_was_learned_is_there(tmp_path: Path) -> None:
+async def test_leases_and_the_warm_start_snapshot_are_restored_after_a_restart(tmp_path: Path) -> None:
     options = options_with(tmp_path, store={"folder": "store", "warm_ms": 50.0})
-    peers = [ScriptedServer(answer_hit, f"c{number}", host=f"127.0.3.{number + 1}") for number in range(3)]
-    front = DnsConfig(
+    caches = [ScriptedServer(respond_hit, f"c{number}", host=f"127.0.3.{number + 1}") for number in range(3)]
+    dns_config = DnsConfig(
         ("127.0.0.1", 0), dns.name.from_text("cdn.example."), "127.0.0.1", 1_000.0, LeaseSettings(0.01)
     )
-    async with DirectorHarness(peers, dns=front, options=options) as world:
-        director = world.director
+    async with DirectorHarness(caches, dns=dns_config, options=options) as harness:
+        director = harness.director
         assert director is not None and director.dns is not None and director.persistence is not None
         resolver, log = StubResolver(director.dns.address), director.persistence.log
-        found = await resolver.resolve("0.a1.lot-page.cdn.example.")
-        assert len(found) == 1
+        addresses = await resolver.resolve("0.a1.lot-page.cdn.example.")
+        assert len(addresses) == 1
         key, lease = next(iter(log.items(LEASE_SPACE).items()))
-        # Durable before the answer left.
+        # The lease was durable before the answer was sent.
         assert log.durable_sequence >= log.index.entries[LEASE_SPACE, key].sequence
         for number in range(8):
-            await world.fetch(f"/invoke/lot-page/{number:x}?nth=0", trace=f"{number + 1:016x}")
+            await harness.fetch(f"/invoke/lot-page/{number:x}?nth=0", trace=f"{number + 1:016x}")
         await wait_until(lambda: partitions_with_locations(log) > 6)
         await wait_until(lambda: log.durable_sequence >= log.index.last_sequence - 1)
         director.persistence.directory.close()
-    steady_ms = AnchoredClock()
-    again = SegmentedLog(StoreDirectory(tmp_path / "store"), steady_ms)
-    assert lease in again.items(LEASE_SPACE).values()
+    clock = AnchoredClock()
+    reopened_log = SegmentedLog(StoreDirectory(tmp_path / "store"), clock)
+    assert lease in reopened_log.items(LEASE_SPACE).values()
     core = Dispatcher(director.exchange.dispatcher.state.settings, 1)
     servers = tuple(server.info for server in director.exchange.dispatcher.state.registry.servers.values())
-    core.handle(steady_ms(), api.EndpointList(api.EndpointListKind.PERSISTED, servers))
-    assert restore_leases(core, again.items(LEASE_SPACE), steady_ms()) == 1
-    objects, _ = restore_snapshot(core, again.items(SNAPSHOT_SPACE), steady_ms())
+    core.handle(clock(), api.EndpointList(api.EndpointListKind.PERSISTED, servers))
+    assert restore_leases(core, reopened_log.items(LEASE_SPACE), clock()) == 1
+    objects, _ = restore_snapshot(core, reopened_log.items(SNAPSHOT_SPACE), clock())
     assert objects > 4
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -20,27 +20,29 @@
 from .support import History, disk_with, files_of, newest_file, open_log, values_in
 
 
-def test_a_file_truncated_at_any_byte_leaves_an_acknowledged_state_or_is_rejected(history: History) -> None:
+def test_a_file_truncated_at_any_byte_has_an_acknowledged_state_or_is_rejected(history: History) -> None:
     files, newest = files_of(history.disk), newest_file(history.log)
-    by_sequence = dict(history.acknowledged)
+    values_by_sequence = dict(history.acknowledged)
     assert len(files) >= 4 and any(name.endswith(".c.seg") for name in files)
     for name, data in files.items():
         for size in range(len(data)):
             try:
-                found = open_log(disk_with({**files, name: data[:size]}))
+                reopened = open_log(disk_with({**files, name: data[:size]}))
             except StoreFileError as error:
                 assert name != newest, (name, size, error)
                 continue
             assert name == newest, f"{name} truncated at {size} went unnoticed"
-            # The newest may end anywhere: what is left was acknowledged, or is a part of one batch.
-            sequence = found.index.last_sequence
-            if sequence in by_sequence:
-                assert values_in(found) == by_sequence[sequence], size
-            else:  # between two acknowledgements: at least the one before
-                before = by_sequence[max(earlier for earlier in by_sequence if earlier <= sequence)]
-                left = values_in(found)
-                assert sum(left.get(slot) != value for slot, value in before.items()) <= 2
-            assert size == len(data) or found.recovered.dropped or sequence in by_sequence
+            # The newest file may end anywhere: its rest is an acknowledged state, or a part of one batch.
+            sequence = reopened.index.last_sequence
+            if sequence in values_by_sequence:
+                assert values_in(reopened) == values_by_sequence[sequence], size
+            else:  # between two acknowledgements: the values of the earlier one, and a part of the batch
+                values_before = values_by_sequence[
+                    max(earlier for earlier in values_by_sequence if earlier <= sequence)
+                ]
+                values_left = values_in(reopened)
+                assert sum(values_left.get(key) != value for key, value in values_before.items()) <= 2
+            assert size == len(data) or reopened.recovered.dropped or sequence in values_by_sequence
 
 
 def test_a_corrupt_byte_is_rejected_by_file_and_offset_or_was_in_the_newest_record(history: History) -> None:
@@ -48,16 +50,16 @@
     last_states = [values for _, values in history.acknowledged[-3:]]
     rejected_count = 0
     for name, data in files.items():
-        for place in range(0, len(data), 3):
-            corrupt = data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :]
+        for offset in range(0, len(data), 3):
+            corrupt = data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :]
             try:
-                found = open_log(disk_with({**files, name: corrupt}))
+                reopened = open_log(disk_with({**files, name: corrupt}))
             except StoreFileError as error:
                 rejected_count += 1
                 assert error.file in files and 0 <= error.offset <= len(files[error.file])
                 continue
-            assert name == newest and found.recovered.dropped
-            assert values_in(found) in last_states, (name, place)  # of the last batch alone
+            assert name == newest and reopened.recovered.dropped
+            assert values_in(reopened) in last_states, (name, offset)  # only the last batch may be lost
     assert rejected_count > 300
 
 
@@ -65,32 +67,32 @@
     log = open_log(disk)
     log.put("purge", "object", b"now")
     log.commit()
-    log.put("purge", "later", b"x" * 50)  # written and not acknowledged
+    log.put("purge", "later", b"x" * 50)  # written, but not acknowledged
     name = newest_file(log)
     acknowledged_bytes = len(disk.files[name].data)
     log.commit()
     data = bytes(disk.files[name].data)
     for size in range(acknowledged_bytes, len(data)):
-        found = open_log(disk_with({name: data[:size]}), LogConfig())
-        assert values_in(found) == {("purge", "object"): b"now"}
-        assert bool(found.recovered.dropped) == (size > acknowledged_bytes)
+        reopened = open_log(disk_with({name: data[:size]}), LogConfig())
+        assert values_in(reopened) == {("purge", "object"): b"now"}
+        assert bool(reopened.recovered.dropped) == (size > acknowledged_bytes)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(data=st.data())
-def test_recovery_of_noise_raises_nothing_but_the_stores_own_error(data: st.DataObject) -> None:
+def test_recovery_of_random_damage_raises_only_the_stores_own_error(data: st.DataObject) -> None:
     files = files_of(History().disk)
     name = data.draw(st.sampled_from(sorted(files)))
     content = bytearray(files[name])
-    for place, value in data.draw(
+    for offset, value in data.draw(
         st.lists(st.tuples(st.integers(0, 10_000), st.integers(0, 255)), max_size=6)
     ):
-        content[place % len(content)] = value
+        content[offset % len(content)] = value
     noise = data.draw(st.binary(max_size=60))
-    place = data.draw(st.integers(0, len(content)))
-    noisy = bytes(content[:place]) + noise + bytes(content[place:])
+    offset = data.draw(st.integers(0, len(content)))
+    corrupted = bytes(content[:offset]) + noise + bytes(content[offset:])
     try:
-        recover_store({**files, name: noisy, "other": noise})
+        recover_store({**files, name: corrupted, "other": noise})
     except StoreFileError as error:
         assert str(error).startswith(error.file)
 
@@ -112,17 +114,17 @@
         old.put("purge", f"k{number}", b"old")
         old.commit()
     with patch.multiple(record_format, FORMAT_VERSION=2, READABLE_VERSIONS=frozenset((1, 2))):
-        grown = disk_with(files_of(disk))
-        new = open_log(grown)
+        extended_disk = disk_with(files_of(disk))
+        new = open_log(extended_disk)
         new.put("purge", "k0", b"new")
         new.commit()
         assert len(values_in(new)) == 20
-        both = disk_with(files_of(grown))
-        mixed = open_log(both)
+        mixed_disk = disk_with(files_of(extended_disk))
+        mixed = open_log(mixed_disk)
         assert values_in(mixed) == values_in(new)
         mixed.compact(max(mixed.segments))
     with pytest.raises(UnsupportedFormatError, match="written in format 2, this program reads 1"):
-        open_log(disk_with(files_of(both)))
+        open_log(disk_with(files_of(mixed_disk)))
     with patch.multiple(record_format, FORMAT_VERSION=2, READABLE_VERSIONS=frozenset((2,))):
-        # Nothing in the old format is left.
-        assert values_in(open_log(disk_with(files_of(both)))) == values_in(new)
+        # No record of the old format is left.
+        assert values_in(open_log(disk_with(files_of(mixed_disk)))) == values_in(new)
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Any order of changes, commits, compactions, kills and power losses, against a dictionary."""
+"""Random orders of changes, commits, compactions, kills and power losses, compared with a dictionary."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Put, delete, expire, commit, compact, kill, power loss and reopen, against a dictionary."""
+    """Put, delete, expire, commit, compact, kill, power loss and reopen, compared with a dictionary."""
 
     keys = st.sampled_from("abcde")
 
     @initialize()
-    def begin(self) -> None:
+    def open_store(self) -> None:
         self.disk, self.now_ms = FaultyDisk(), NOW_MS
         self.durable: dict[str, tuple[bytes, float]] = {}
         self.pending: list[tuple[str, tuple[bytes, float] | None]] = []
@@ -38,19 +38,19 @@
     @rule()
     def commit(self) -> None:
         self.log.commit()
-        self.settle()
+        self.acknowledge_pending()
 
-    @rule(part=st.floats(0.0, 1.0))
-    def compact(self, part: float) -> None:
+    @rule(fraction=st.floats(0.0, 1.0))
+    def compact(self, fraction: float) -> None:
         numbers = sorted(self.log.segments)
         if numbers:
-            self.log.compact(numbers[int(part * (len(numbers) - 1))])
-            self.settle()
+            self.log.compact(numbers[int(fraction * (len(numbers) - 1))])
+            self.acknowledge_pending()
 
     @rule(duration_ms=st.sampled_from((1.0, 60.0)))
     def wait(self, duration_ms: float) -> None:
         self.now_ms += duration_ms
-        self.log.choose_compaction()  # drops what has expired
+        self.log.choose_compaction()  # drops expired entries
 
     @rule(seed=st.integers(0, 10_000))
     def lose_power(self, seed: int) -> None:
@@ -60,8 +60,8 @@
     def kill(self) -> None:
         self.reopen(self.disk.after_kill())
 
-    def settle(self) -> None:
-        """All that was pending is acknowledged."""
+    def acknowledge_pending(self) -> None:
+        """Applies all pending changes to the dictionary: they are acknowledged."""
         for key, value in self.pending:
             if value is None:
                 self.durable.pop(key, None)
@@ -70,7 +70,7 @@
         self.pending.clear()
 
     def reopen(self, disk: FaultyDisk) -> None:
-        """All that was acknowledged is there, and of what was not, nothing: it was never written."""
+        """Reopens the store: it has all acknowledged changes, and no others, as those were never written."""
         self.disk, self.log = disk, SegmentedLog(disk, lambda: self.now_ms, SMALL)
         self.pending.clear()
         self.check()
@@ -86,11 +86,11 @@
     def teardown(self) -> None:
         if hasattr(self, "log"):
             self.log.commit()
-            self.settle()
+            self.acknowledge_pending()
             self.check()
 
 
-def test_any_order_of_things_keeps_what_was_acknowledged() -> None:
+def test_any_order_of_operations_keeps_all_acknowledged_changes() -> None:
     run_state_machine_as_test(
         StoreMachine,
         settings=settings(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True),
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -1,4 +1,4 @@
-"""The asynchronous writer: changes are acknowledged when durable, whatever the disk does meanwhile."""
+"""The asynchronous writer: it acknowledges changes when they are durable, also if the disk rejects writes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class WriterFactory:
-    """Starts writers on one disk and notes the events that they log."""
+    """Starts writers on one disk and records the events that they log."""
 
     disk: FaultyDisk
     events: list[str] = field(default_factory=list)
@@ -51,7 +51,7 @@
 
 
 @async_test
-async def test_a_full_disk_is_logged_once_stops_nobody_and_is_tried_again(
+async def test_a_full_disk_is_logged_once_blocks_no_put_and_is_retried(
     disk: FaultyDisk, writers: WriterFactory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(writer_module, "RETRY_INTERVAL_SECONDS", 0.05)
@@ -60,7 +60,7 @@
     disk.fault_rule = fail_writes(errno.ENOSPC)
     assert await writer.put("s", "b", b"2") is False
     assert await writer.put("s", "c", b"3") is False
-    assert writer.log.get("s", "c") == b"3"  # in memory it takes effect all the same
+    assert writer.log.get("s", "c") == b"3"  # in memory the change takes effect anyway
     disk.fault_rule = never_fail
     await wait_until(lambda: not writer.is_failing)
     assert writers.events == ["store can't write", "store is back"]
@@ -70,7 +70,7 @@
 
 
 @async_test
-async def test_it_compacts_while_puts_come_and_none_is_lost(disk: FaultyDisk, writers: WriterFactory) -> None:
+async def test_a_compaction_during_puts_loses_none(disk: FaultyDisk, writers: WriterFactory) -> None:
     writer = writers.start(config=LogConfig(max_segment_bytes=2_000, max_total_bytes=30_000))
     for number in range(600):
         future = writer.put("s", f"k{number % 12}", number.to_bytes(4, "big") + bytes(60))
@@ -79,6 +79,6 @@
     await future
     await wait_until(lambda: writer.counters["store.compactions"] > 2)
     await writer.close()
-    found = open_log(disk.after_power_loss(3)).items("s")
-    assert found == writer.log.items("s")
-    assert {int.from_bytes(value[:4], "big") for value in found.values()} == set(range(588, 600))
+    restored = open_log(disk.after_power_loss(3)).items("s")
+    assert restored == writer.log.items("s")
+    assert {int.from_bytes(value[:4], "big") for value in restored.values()} == set(range(588, 600))
