--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -1,4 +1,4 @@
-"""Stores as version 0.2.0 wrote them: read as they are, and written again equal byte for byte."""
+"""Golden data: stores that version 0.2.0 wrote are read, and are still written byte for byte like that."""
 
 import asyncio
 import errno
@@ -33,29 +33,29 @@
 PLAIN, COMPACTED = "0000000000000004.seg", "0000000000000002.c.seg"
 
 
-def target(uid: str, state: str, started: float = 0.0) -> dict[str, Any]:
+def endpoint(uid: str, state: str, started_ms: float = 0.0) -> dict[str, Any]:
     return {"uid": uid, "model": "standard", "az": "edge-1", "state": state, "address": "127.0.0.1:9000",
-            "capacity_hint": 8.0, "started_unix_ms": started}  # fmt: skip
+            "capacity_hint": 8.0, "started_unix_ms": started_ms}  # fmt: skip
 
 
 EVENTS: tuple[dict[str, Any], ...] = (
     {"index": 3, "endpoints": {"rev": 1, "all": True, "targets": [
-        target("c0", "SERVING"), target("c1", "SERVING", NOW - 90_000.0), target("c2", "SERVING")]}},
-    {"index": 4, "endpoints": {"rev": 2, "targets": [target("c1", "DRAINING")]}},
+        endpoint("c0", "SERVING"), endpoint("c1", "SERVING", NOW - 90_000.0), endpoint("c2", "SERVING")]}},
+    {"index": 4, "endpoints": {"rev": 2, "targets": [endpoint("c1", "DRAINING")]}},
     {"index": 5, "evict": {"ref": "a1", "unix_ms": NOW - 500.0}},
     {"index": 6, "evict": {"shard": 7, "unix_ms": NOW + 9_000.0}},
-    {"index": 7, "endpoints": {"rev": 3, "targets": [target("c2", "DELETED")]}, "evict": {"unix_ms": NOW}},
-    {"index": 8, "endpoints": {"rev": 4, "all": True, "targets": [target("c0", "DRAINING")]}},
+    {"index": 7, "endpoints": {"rev": 3, "targets": [endpoint("c2", "DELETED")]}, "evict": {"unix_ms": NOW}},
+    {"index": 8, "endpoints": {"rev": 4, "all": True, "targets": [endpoint("c0", "DRAINING")]}},
     {"index": 9, "evict": {"ref": "a1", "unix_ms": NOW - 20.0}},
 )  # fmt: skip
 
 
-def core_with_knowledge() -> Dispatcher:
+def dispatcher_with_estimates() -> Dispatcher:
     page = api.RequestClass("page", 400.0, 3_000.0)
     core = Dispatcher(api.Settings(classes=(page,), zone="e", zones=("e",), hub_of_zone=(0,)), 1)
     servers = tuple(
-        api.Server(name, api.Role.CACHE, "e", started_ms=started, address=f"{name}:9")
-        for name, started in (("a", 0.0), ("b", NOW - 50_000.0))
+        api.Server(name, api.Role.CACHE, "e", started_ms=started_ms, address=f"{name}:9")
+        for name, started_ms in (("a", 0.0), ("b", NOW - 50_000.0))
     )
     core.handle(NOW, api.EndpointList(api.EndpointListKind.PERSISTED, servers))
     core.state.locations[7, 0] = {"a": NOW - 1_000.0, "b": NOW - 29_000.0}
@@ -110,33 +110,36 @@
     ]
 
 
-def event_rows(lasting: bool) -> list[tuple[str, str, bytes | None, float]]:
+def event_rows(resumes_feed: bool) -> list[tuple[str, str, bytes | None, float]]:
     rows = []
     position = row_codecs.FeedPosition(0)
     for event in EVENTS:
-        kept = row_codecs.encode_event(event["index"], event, SETTLE_MS, NOW, lasting)
+        stored_rows = row_codecs.encode_event(event["index"], event, SETTLE_MS, NOW, resumes_feed)
         if row_codecs.has_full_list(event):
-            kept += row_codecs.delete_unlisted(event, ["c0", "c1", "c2"])
+            stored_rows += row_codecs.delete_unlisted(event, ["c0", "c1", "c2"])
         position = row_codecs.next_position(event["index"], event, position)
         row = row_codecs.encode_position(position)
-        rows += [(one.space, one.key, one.value, one.expires_at_ms) for one in (*kept, row)]
+        rows += [(one.space, one.key, one.value, one.expires_at_ms) for one in (*stored_rows, row)]
     return rows
 
 
 def as_text(rows: Sequence[tuple[str, str, bytes | None, float]]) -> list[list[Any]]:
-    return [[space, key, None if value is None else value.hex(), until] for space, key, value, until in rows]
+    return [
+        [space, key, None if value is None else value.hex(), expires_at_ms]
+        for space, key, value, expires_at_ms in rows
+    ]
 
 
-def written() -> FaultyDisk:
-    """Records of every kind in plain segments, a compacted one before them, all of it by one clock."""
-    disk, core = FaultyDisk(), core_with_knowledge()
+def write_store() -> FaultyDisk:
+    """Writes a store with records of every kind in plain segments after a compacted one, at a fixed time."""
+    disk, core = FaultyDisk(), dispatcher_with_estimates()
     log = SegmentedLog(disk, lambda: NOW, SMALL)
     rows = [*event_rows(True), *lease_rows(core), *warm_rows(core)]
-    for number, (space, key, value, until) in enumerate(rows):
+    for number, (space, key, value, expires_at_ms) in enumerate(rows):
         if value is None:
             log.delete(space, key)
         else:
-            log.put(space, key, value, until)
+            log.put(space, key, value, expires_at_ms)
         if number % 2:
             log.commit()
         if number == 16:
@@ -162,64 +165,70 @@
 
 
 def damaged_copies() -> dict[str, dict[str, bytes]]:
-    """A torn tail, a torn header, and bytes that have rotted in each place that is found in its own way."""
+    """Returns torn, incomplete and corrupt copies of the store, one for each way of detection."""
     files = golden_files()
     newest = max(files)
     middle = len(files[PLAIN]) // 2
 
-    def spoilt(name: str, place: int) -> dict[str, bytes]:
+    def corrupt(name: str, offset: int) -> dict[str, bytes]:
         data = bytearray(files[name])
-        data[place] ^= 0x41
+        data[offset] ^= 0x41
         return {**files, name: bytes(data)}
 
     return {
         "torn tail": {**files, newest: files[newest][:-5]},
         "torn first header": {**files, "00000000000000ff.seg": files[newest][:20]},
         "left over": {**files, "compacting.tmp": b"half"},
-        "corrupt record": spoilt(PLAIN, middle),
-        "corrupt last record": spoilt(newest, len(files[newest]) - 1),
-        "corrupt header": spoilt(PLAIN, 12),
-        "corrupt compacted record": spoilt(COMPACTED, len(files[COMPACTED]) - 1),
+        "corrupt record": corrupt(PLAIN, middle),
+        "corrupt last record": corrupt(newest, len(files[newest]) - 1),
+        "corrupt header": corrupt(PLAIN, 12),
+        "corrupt compacted record": corrupt(COMPACTED, len(files[COMPACTED]) - 1),
         "missing segment": {name: data for name, data in files.items() if name != PLAIN},
         "another number": {**files, "00000000000000ff.seg": files[newest]},
     }
 
 
-def read_back(files: dict[str, bytes]) -> dict[str, Any]:
-    """What recovery says of these files, and what salvage makes of them."""
-    saved = salvage_records(files)
-    told: dict[str, Any] = {
-        "salvaged": [saved.record_count, saved.losses, len(saved.index.entries), saved.index.last_sequence]
+def recover_and_salvage(files: dict[str, bytes]) -> dict[str, Any]:
+    """Returns the results of recovery and salvage on these files."""
+    salvaged = salvage_records(files)
+    results: dict[str, Any] = {
+        "salvaged": [
+            salvaged.record_count,
+            salvaged.losses,
+            len(salvaged.index.entries),
+            salvaged.index.last_sequence,
+        ]
     }
     try:
-        found = recover_store(files)
-    except StoreFileError as fault:
-        return {**told, "fault": str(fault)}
+        recovered = recover_store(files)
+    except StoreFileError as error:
+        return {**results, "fault": str(error)}
     log = SegmentedLog(disk_with(files), lambda: NOW, SMALL)
     return {
-        **told, "sequence": found.index.last_sequence,
-        "dropped": [list(astuple(one)) for one in found.dropped],
-        "useless": found.obsolete_files, "next_number": found.next_number, "values": values_by_space(log),
+        **results, "sequence": recovered.index.last_sequence,
+        "dropped": [list(astuple(one)) for one in recovered.dropped],
+        "useless": recovered.obsolete_files, "next_number": recovered.next_number,
+        "values": values_by_space(log),
     }  # fmt: skip
 
 
-def test_the_rows_of_events_leases_and_the_snapshot_are_written_as_they_were() -> None:
-    core = core_with_knowledge()
+def test_the_rows_of_events_leases_and_the_snapshot_are_encoded_as_in_the_golden_data() -> None:
+    core = dispatcher_with_estimates()
     rows: dict[str, Sequence[tuple[str, str, bytes | None, float]]] = {
         "events": event_rows(False),
         "lasting": event_rows(True),
         "leases": lease_rows(core),
         "warm": warm_rows(core),
     }
-    for name, written_now in rows.items():
-        assert as_text(written_now) == GOLDEN["rows"][name], name
+    for name, actual_rows in rows.items():
+        assert as_text(actual_rows) == GOLDEN["rows"][name], name
 
 
-def test_a_store_is_written_as_it_was_byte_for_byte() -> None:
-    assert hex_of(files_of(written())) == GOLDEN["files"]
+def test_a_store_is_written_byte_for_byte_as_in_the_golden_data() -> None:
+    assert hex_of(files_of(write_store())) == GOLDEN["files"]
 
 
-def test_a_store_that_was_written_is_read() -> None:
+def test_the_golden_store_is_read() -> None:
     log = SegmentedLog(disk_with(golden_files()), lambda: NOW, SMALL)
     assert values_by_space(log) == GOLDEN["values"]
     assert [log.index.last_sequence, log.durable_sequence, log.total_bytes, log.next_number] == GOLDEN[
@@ -227,13 +236,13 @@
     ]
 
 
-def restored() -> dict[str, Any]:
-    """What each codec makes of the rows of the golden store."""
+def decode_golden_rows() -> dict[str, Any]:
+    """Returns the rows of the golden store as each codec decodes and restores them."""
     log = SegmentedLog(disk_with(golden_files()), lambda: NOW, SMALL)
     purges = row_codecs.decode_purges(log.items(row_codecs.PURGE_SPACE), NOW + 1_000.0)
     position = row_codecs.decode_position(log.items(row_codecs.FEED_SPACE))
     servers = log.items(row_codecs.SERVER_SPACE)
-    core = core_with_knowledge()
+    core = dispatcher_with_estimates()
     core.state.locations.clear()
     core.state.estimates.by_object.clear()
     core.state.registry.servers["b"].fill_quota = 1.0
@@ -244,27 +253,27 @@
         "servers": row_codecs.decode_servers(servers, 0, position.full_list_index),
         "servers after 8": row_codecs.decode_servers(servers, 8),
         "warm": list(counts),
-        "memory": [[*key, dict(seen)] for key, seen in sorted(core.state.locations.items())],
-        "sizes": [[*key, took] for key, took in sorted(core.state.estimates.by_object.items())],
+        "memory": [[*key, dict(holders)] for key, holders in sorted(core.state.locations.items())],
+        "sizes": [[*key, transfer_ms] for key, transfer_ms in sorted(core.state.estimates.by_object.items())],
         "shares": [core.state.registry.servers[name].fill_quota for name in "ab"],
         "leases": dns_lease_rows.restore_leases(core, log.items(dns_lease_rows.LEASE_SPACE), NOW + 61_000.0),
     }
 
 
-def test_the_rows_that_were_written_are_believed_as_they_were() -> None:
-    assert restored() == GOLDEN["restored"]
+def test_the_rows_of_the_golden_store_are_restored() -> None:
+    assert decode_golden_rows() == GOLDEN["restored"]
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN["damaged"]))
-def test_a_damaged_store_is_cut_or_refused_in_the_same_words(name: str) -> None:
-    assert read_back(damaged_copies()[name]) == GOLDEN["damaged"][name]
+def test_a_damaged_store_is_truncated_or_rejected_with_the_same_texts(name: str) -> None:
+    assert recover_and_salvage(damaged_copies()[name]) == GOLDEN["damaged"][name]
 
 
-def test_every_damage_has_its_golden_record() -> None:
+def test_each_kind_of_damage_is_in_the_golden_data() -> None:
     assert sorted(damaged_copies()) == sorted(GOLDEN["damaged"])
 
 
-def lay(files: dict[str, bytes], folder: Path) -> Path:
+def write_files(files: dict[str, bytes], folder: Path) -> Path:
     folder.mkdir()
     for name, data in files.items():
         (folder / name).write_bytes(data)
@@ -272,80 +281,82 @@
 
 
 def tool_outputs(folder: Path) -> dict[str, Any]:
-    """Exit code and output of each command on a good store, a cut one and a damaged one."""
-    told: dict[str, Any] = {}
+    """Returns exit code and output of each command on an intact store, torn ones and corrupt ones."""
+    results: dict[str, Any] = {}
     copies = damaged_copies()
     stores = {
         "good": golden_files(),
         **{name: copies[name] for name in ("torn tail", "left over", "corrupt record", "corrupt header")},
     }
     for name, files in stores.items():
-        path = lay(files, folder / name.replace(" ", "-"))
+        path = write_files(files, folder / name.replace(" ", "-"))
         commands = (
             ["check"], ["dump"], ["repair"], ["compact"], ["repair", "--accept-loss"], ["check"], ["dump"],
         )  # fmt: skip
-        for number, words in enumerate(commands):
-            done = CliRunner().invoke(gladewalk, ["store", *words, str(path)])
-            text = done.output.replace(str(path), "FOLDER")
-            told[f"{name}, {number}: {' '.join(words)}"] = [done.exit_code, text.splitlines()]
-        left = {one.name: one.read_bytes() for one in path.iterdir() if one.suffix == ".seg"}
-        told[f"{name}, files"] = hex_of(left)
-    return told
-
-
-def test_the_commands_print_and_leave_what_they_did(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+        for number, arguments in enumerate(commands):
+            result = CliRunner().invoke(gladewalk, ["store", *arguments, str(path)])
+            text = result.output.replace(str(path), "FOLDER")
+            results[f"{name}, {number}: {' '.join(arguments)}"] = [result.exit_code, text.splitlines()]
+        remaining_files = {one.name: one.read_bytes() for one in path.iterdir() if one.suffix == ".seg"}
+        results[f"{name}, files"] = hex_of(remaining_files)
+    return results
+
+
+def test_the_commands_print_the_same_texts_and_leave_the_same_files(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(maintenance, "wall_clock_ms", lambda: NOW)
     assert tool_outputs(tmp_path) == GOLDEN["commands"]
 
 
-def refuse(disk: Any, name: str, data: bytes) -> None:
+def reject_append(disk: Any, name: str, data: bytes) -> None:
     raise OSError(errno.ENOSPC, "No space left on device")
 
 
-class Followed:
-    """What a run of the service says, counts, shows and leaves."""
+class ServiceRun:
+    """A run of the service, with its log events, counters, status and files."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.said: list[list[str]] = []
+        self.log_events: list[list[str]] = []
         self.counters = Counters()
 
-    def opened(self) -> PersistenceService:
+    def open_service(self) -> PersistenceService:
         tables = read_option_tables({"store": {"folder": "store", "resume": True, "warm_ms": 0.0}})
         options = build_options(tables, "own.toml", self.folder)
         return PersistenceService(
-            options, SETTLE_MS, lambda: NOW, self.counters, lambda *said: self.said.append([*said]),
+            options, SETTLE_MS, lambda: NOW, self.counters, lambda *logged: self.log_events.append([*logged]),
             Deadlines(lambda when_ms: None),
         )  # fmt: skip
 
-    async def settled(self, persistence: PersistenceService) -> None:
+    async def wait_until_written(self, persistence: PersistenceService) -> None:
         while persistence.log.pending or persistence.log.in_flight is not None:
             await asyncio.sleep(0.001)
 
-    async def play(self) -> dict[str, Any]:
-        persistence = self.opened()
+    async def run(self) -> dict[str, Any]:
+        persistence = self.open_service()
         persistence.writer.start()
         for event in EVENTS:
             persistence.record_event(event["index"], event)
-            await self.settled(persistence)
-        with pytest.MonkeyPatch.context() as patched:
-            patched.setattr(type(persistence.directory), "append", refuse)
+            await self.wait_until_written(persistence)
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(type(persistence.directory), "append", reject_append)
             assert not await persistence.writer.put("bytes", "refused", b"1")
-            failing = msgspec.to_builtins(persistence.status())
+            failing_status = msgspec.to_builtins(persistence.status())
         while persistence.writer.is_failing:
             await asyncio.sleep(0.01)
-        view = msgspec.to_builtins(persistence.status())
+        status = msgspec.to_builtins(persistence.status())
         await persistence.close()
         files = {one.name: one.read_bytes() for one in (self.folder / "store").glob("*.seg")}
         with (self.folder / "store" / max(files)).open("ab") as file:
             file.write(b"half of a record")
-        persistence = self.opened()
+        persistence = self.open_service()
         persistence.directory.close()
         return {
-            "said": self.said, "counters": dict(sorted(self.counters.items())), "view": view,
-            "failing": failing, "files": hex_of(files),
+            "said": self.log_events, "counters": dict(sorted(self.counters.items())), "view": status,
+            "failing": failing_status, "files": hex_of(files),
         }  # fmt: skip
 
 
-def test_the_service_writes_says_counts_and_shows_what_it_did(tmp_path: Path) -> None:
-    assert asyncio.run(Followed(tmp_path).play()) == GOLDEN["service"]
+def test_the_service_has_the_same_files_log_events_counters_and_status(tmp_path: Path) -> None:
+    assert asyncio.run(ServiceRun(tmp_path).run()) == GOLDEN["service"]
