--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -50,8 +50,8 @@
     last_states = [values for _, values in history.acknowledged[-3:]]
     rejected_count = 0
     for name, data in files.items():
-        for offset in range(0, len(data), 3):
-            corrupt = data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :]
+        for byte_index in range(0, len(data), 3):
+            corrupt = data[:byte_index] + bytes([data[byte_index] ^ 0x41]) + data[byte_index + 1 :]
             try:
                 reopened = open_log(disk_with({**files, name: corrupt}))
             except StoreFileError as error:
@@ -59,7 +59,7 @@
                 assert error.file in files and 0 <= error.offset <= len(files[error.file])
                 continue
             assert name == newest and reopened.recovered.dropped
-            assert values_in(reopened) in last_states, (name, offset)  # only the last batch may be lost
+            assert values_in(reopened) in last_states, (name, byte_index)  # only the last batch may be lost
     assert rejected_count > 300
 
 
@@ -84,13 +84,13 @@
     files = files_of(History().disk)
     name = data.draw(st.sampled_from(sorted(files)))
     content = bytearray(files[name])
-    for offset, value in data.draw(
+    for byte_index, value in data.draw(
         st.lists(st.tuples(st.integers(0, 10_000), st.integers(0, 255)), max_size=6)
     ):
-        content[offset % len(content)] = value
+        content[byte_index % len(content)] = value
     noise = data.draw(st.binary(max_size=60))
-    offset = data.draw(st.integers(0, len(content)))
-    corrupted = bytes(content[:offset]) + noise + bytes(content[offset:])
+    byte_index = data.draw(st.integers(0, len(content)))
+    corrupted = bytes(content[:byte_index]) + noise + bytes(content[byte_index:])
     try:
         recover_store({**files, name: corrupted, "other": noise})
     except StoreFileError as error:
--- a/tests/test_fault_points.py
+++ b/tests/test_fault_points.py
@@ -44,13 +44,13 @@
 
 
 def test_the_sample_of_passes_is_spread_over_the_whole_run() -> None:
-    passes = count_passes(store_scenario.run_scenario, "store")
-    sample = sample_passes(passes, 3)
+    all_passes = count_passes(store_scenario.run_scenario, "store")
+    sample = sample_passes(all_passes, 3)
     sync_occurrences = [
-        point_pass.occurrence for point_pass in sample if point_pass.point.name == "store.disk.sync"
+        sampled_pass.occurrence for sampled_pass in sample if sampled_pass.point.name == "store.disk.sync"
     ]
     assert len(sync_occurrences) == 3 and sync_occurrences[0] == 0 and sync_occurrences[-1] > 10
-    assert sample_passes(passes, None) == passes
+    assert sample_passes(all_passes, None) == all_passes
 
 
 # Copies with a fault.
--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -33,9 +33,9 @@
 PLAIN, COMPACTED = "0000000000000004.seg", "0000000000000002.c.seg"
 
 
-def endpoint(uid: str, state: str, started_ms: float = 0.0) -> dict[str, Any]:
+def endpoint(uid: str, state: str, start_ms: float = 0.0) -> dict[str, Any]:
     return {"uid": uid, "model": "standard", "az": "edge-1", "state": state, "address": "127.0.0.1:9000",
-            "capacity_hint": 8.0, "started_unix_ms": started_ms}  # fmt: skip
+            "capacity_hint": 8.0, "started_unix_ms": start_ms}  # fmt: skip
 
 
 EVENTS: tuple[dict[str, Any], ...] = (
@@ -54,8 +54,8 @@
     page = api.RequestClass("page", 400.0, 3_000.0)
     core = Dispatcher(api.Settings(classes=(page,), zone="e", zones=("e",), hub_of_zone=(0,)), 1)
     servers = tuple(
-        api.Server(name, api.Role.CACHE, "e", started_ms=started_ms, address=f"{name}:9")
-        for name, started_ms in (("a", 0.0), ("b", NOW - 50_000.0))
+        api.Server(name, api.Role.CACHE, "e", started_ms=start_ms, address=f"{name}:9")
+        for name, start_ms in (("a", 0.0), ("b", NOW - 50_000.0))
     )
     core.handle(NOW, api.EndpointList(api.EndpointListKind.PERSISTED, servers))
     core.state.locations[7, 0] = {"a": NOW - 1_000.0, "b": NOW - 29_000.0}
@@ -125,8 +125,8 @@
 
 def as_text(rows: Sequence[tuple[str, str, bytes | None, float]]) -> list[list[Any]]:
     return [
-        [space, key, None if value is None else value.hex(), expires_at_ms]
-        for space, key, value, expires_at_ms in rows
+        [space, key, None if value is None else value.hex(), expiry_ms]
+        for space, key, value, expiry_ms in rows
     ]
 
 
@@ -135,11 +135,11 @@
     disk, core = FaultyDisk(), dispatcher_with_estimates()
     log = SegmentedLog(disk, lambda: NOW, SMALL)
     rows = [*event_rows(True), *lease_rows(core), *warm_rows(core)]
-    for number, (space, key, value, expires_at_ms) in enumerate(rows):
+    for number, (space, key, value, expiry_ms) in enumerate(rows):
         if value is None:
             log.delete(space, key)
         else:
-            log.put(space, key, value, expires_at_ms)
+            log.put(space, key, value, expiry_ms)
         if number % 2:
             log.commit()
         if number == 16:
@@ -333,7 +333,7 @@
         while persistence.log.pending or persistence.log.in_flight is not None:
             await asyncio.sleep(0.001)
 
-    async def run(self) -> dict[str, Any]:
+    async def run_service(self) -> dict[str, Any]:
         persistence = self.open_service()
         persistence.writer.start()
         for event in EVENTS:
@@ -345,7 +345,7 @@
             failing_status = msgspec.to_builtins(persistence.status())
         while persistence.writer.is_failing:
             await asyncio.sleep(0.01)
-        status = msgspec.to_builtins(persistence.status())
+        service_status = msgspec.to_builtins(persistence.status())
         await persistence.close()
         files = {one.name: one.read_bytes() for one in (self.folder / "store").glob("*.seg")}
         with (self.folder / "store" / max(files)).open("ab") as file:
@@ -353,10 +353,10 @@
         persistence = self.open_service()
         persistence.directory.close()
         return {
-            "said": self.log_events, "counters": dict(sorted(self.counters.items())), "view": status,
+            "said": self.log_events, "counters": dict(sorted(self.counters.items())), "view": service_status,
             "failing": failing_status, "files": hex_of(files),
         }  # fmt: skip
 
 
 def test_the_service_has_the_same_files_log_events_counters_and_status(tmp_path: Path) -> None:
-    assert asyncio.run(ServiceRun(tmp_path).run()) == GOLDEN["service"]
+    assert asyncio.run(ServiceRun(tmp_path).run_service()) == GOLDEN["service"]
