--- a/gladewalk/faultnet/expected_failures.py
+++ b/gladewalk/faultnet/expected_failures.py
@@ -7,7 +7,7 @@
 from ..members.history import ExpectedFailure
 from .schedule import Fault, FaultKind
 
-SLACK_MS = 2_500.0  # a suspicion may expire at a fault's end, and gossip about it is received later still
+SLACK_MS = 2_500.0  # at a fault's end a suspicion may expire, and its gossip is received later
 
 
 def expected_failures(
--- a/gladewalk/faultnet/membership_cases.py
+++ b/gladewalk/faultnet/membership_cases.py
@@ -21,7 +21,7 @@
     target_indexes: tuple[int, ...] = ()
     amount: float = 0.0
     must_be_declared_dead: bool = False  # all others must declare the first target dead meanwhile
-    is_partition: bool = False  # the targets are two fifths of the fleet, which is its smaller side
+    is_partition: bool = False  # the targets are the first two fifths of the fleet
 
     def faults(self, names: tuple[str, ...], at_ms: float = 0.0) -> list[Fault]:
         """Returns the schedule for a fleet of these names, beginning at `at_ms`."""
--- a/gladewalk/faultnet/relay.py
+++ b/gladewalk/faultnet/relay.py
@@ -207,7 +207,7 @@
         self._socket.close()
 
 
-# The ports that `free_port` has returned. A director may bind its port later, so that a probe finds it free.
+# The ports that `free_port` has returned: one that a director has not bound yet would look free.
 _assigned_ports: set[int] = set()
 
 
--- a/gladewalk/faultnet/schedule.py
+++ b/gladewalk/faultnet/schedule.py
@@ -28,7 +28,7 @@
 from ..config.toml_file import load_toml
 
 MIN_START_MS = 2_000.0
-END_MARGIN_MS = 4_000.0  # no fault begins later than this before the end of a schedule
+END_MARGIN_MS = 4_000.0  # each fault begins at least this long before the end of a schedule
 DURATION_RANGE_MS = (500.0, 3_000.0)
 FRACTION_RANGE = (0.05, 0.3)  # of datagrams lost or duplicated
 DELAY_RANGE_MS = (20.0, 200.0)
--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -36,7 +36,7 @@
     ) -> None:
         super().__init__(seed, director_count, config)
         self.injector = injector
-        self.operated: set[tuple[str, int]] = set()  # tasks and tokens
+        self.operated: set[tuple[str, int]] = set()  # task and token of each operation so far
 
     def pass_point(self, director: SimulatedDirector, point: str) -> FaultKind | None:
         """Passes a point; returns the fault to inject there. Raises `DirectorKilledError` for a kill."""
--- a/gladewalk/faultpoints/membership_scenario.py
+++ b/gladewalk/faultpoints/membership_scenario.py
@@ -27,7 +27,7 @@
 
 def point_suffix(data: bytes, now_ms: float) -> str:
     """Returns the last part of the names of the points that a datagram's message passes."""
-    # This needs an authenticator of its own: the node's would then reject the datagram as a replay.
+    # Needs an authenticator of its own: after this check the node's would reject the datagram as a replay.
     verified = MessageAuthenticator((KEY,), CLOCK_WINDOW_MS).verify(data, now_ms)
     assert isinstance(verified, bytes)
     return POINT_SUFFIXES[type(decode(verified))]
--- a/gladewalk/store/warm_start.py
+++ b/gladewalk/store/warm_start.py
@@ -141,7 +141,7 @@
     count = 0
     for estimate in estimates.servers:
         server = core.state.registry.servers.get(estimate.name)
-        if server is None or server.started_ms > estimate.started_ms:  # a restart makes it out of date
+        if server is None or server.started_ms > estimate.started_ms:  # it is from before a restart
             continue
         server.fill_quota = min(MAX_FILL_QUOTA, max(MIN_FILL_QUOTA, estimate.fill_quota))
         server.first_byte_ms = min(MAX_FIRST_BYTE_MS, max(0.0, estimate.first_byte_ms))
--- a/gladewalk/store/writer.py
+++ b/gladewalk/store/writer.py
@@ -29,7 +29,7 @@
 LogEvent = Callable[[str, str], None]  # its arguments are an event's name and its reason
 RETRY_INTERVAL_SECONDS = 1.0
 CLOSE_POLL_SECONDS = 0.02
-COMPACTION_CHECK_BYTES = 16 * 1024  # fewer bytes written hardly change which segments are worth compacting
+COMPACTION_CHECK_BYTES = 16 * 1024  # bytes written between two checks: fewer hardly change the choice
 WRITES_FAIL_EVENT = "store can't write"
 WRITES_RECOVER_EVENT = "store is back"
 
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -32,7 +32,7 @@
                 assert name != newest, (name, size, error)
                 continue
             assert name == newest, f"{name} truncated at {size} went unnoticed"
-            # The newest file may end anywhere: its rest is an acknowledged state, or a part of one batch.
+            # The newest file may end anywhere: it then has an acknowledged state, or a part of one batch.
             sequence = reopened.index.last_sequence
             if sequence in values_by_sequence:
                 assert values_in(reopened) == values_by_sequence[sequence], size
