--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -7,7 +7,7 @@
 
 from ..errors import GladewalkError
 from ..leases.configuration import LeaseConfig
-from ..leases.history import check
+from ..leases.history import check_history
 from ..leases.messages import decode, encode
 from ..leases.outputs import Output, Save, Send
 from ..rehearsal.lease_simulation import TASKS, LeaseSimulation, SimulatedDirector
@@ -121,12 +121,12 @@
     # After its restart the voter grants nothing until all grants that it may have made before have expired.
     simulation.kill(simulation.names[-1], FIRST_DOWN_MS)
     simulation.run_until(HAND_ON_MS)
-    simulation.hand_on()
+    simulation.release_all_leases()
     simulation.run_until(END_MS - QUIET_MS)
     injector.is_counting = False
     simulation.run_until(END_MS)
     records = simulation.fence.records
-    verdict, overlaps = check(records, END_MS), simulation.beliefs.count_overlaps()
+    verdict, overlaps = check_history(records, END_MS), simulation.beliefs.count_overlaps()
     if not verdict.is_safe or overlaps:
         return f"{verdict} and {overlaps} overlapping beliefs"
     held_tasks = {
--- a/tests/store/test_persistence.py
+++ b/tests/store/test_persistence.py
@@ -35,7 +35,7 @@
 
 
 async def respond_hit(request: ReceivedRequest) -> None:
-    await request.answer(200, b"copy", X_Remark="mem")
+    await request.respond(200, b"copy", X_Remark="mem")
 
 
 def options_with(folder: Path, **tables: dict[str, Any]) -> Options:
