--- a/gladewalk/store/disk_writes.py
+++ b/gladewalk/store/disk_writes.py
@@ -30,7 +30,7 @@
         if self.new_header is not None:
             file_system.create(self.file)
             file_system.append(self.file, self.new_header)
-            # The header is made durable before any record is written, so that no record follows a torn header.
+            # The header is made durable before any record is written: no record follows a torn header.
             file_system.sync(self.file)
             # The file's name is durable before any of its records is acknowledged.
             file_system.sync_directory()
--- a/gladewalk/store/key_index.py
+++ b/gladewalk/store/key_index.py
@@ -80,7 +80,7 @@
         self.entries: dict[tuple[str, str], IndexEntry] = {}
         self.live_bytes: dict[int, int] = {}  # by segment
         self.last_sequence = 0
-        # A heap of expiry times and keys. A key may have changed since, so that `drop_expired` checks its entry.
+        # A heap of expiry times and keys. A key may have changed since: `drop_expired` checks its entry.
         self._expirations: list[tuple[float, tuple[str, str]]] = []
 
     def apply(self, change: Change, segment: int, size_bytes: int) -> bool:
