--- a/gladewalk/rehearsal/__init__.py
+++ b/gladewalk/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for tests and rehearsals: scripted servers, coordinator, resolver, simulated networks."""
+"""Stand-ins for tests and rehearsals: scripted servers, coordinator, resolver and simulated networks."""
--- a/gladewalk/rehearsal/virtual/__init__.py
+++ b/gladewalk/rehearsal/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The director's own code in virtual time: an event loop, connections in memory, one seed for every draw."""
+"""Runs real directors in virtual time: an event loop, in-memory connections, one seed for all random draws."""
--- a/gladewalk/rehearsal/virtual/clients.py
+++ b/gladewalk/rehearsal/virtual/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: requests by the scenario's traffic, each on a connection of its own."""
+"""Simulated clients, which send the scenario's requests, each on its own connection."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from .rules import MAX_LATENESS_MS, History, ObservedRequest, ObservedResponse
 from .scenario import GROUP_COUNT, Scenario
 
-SECOND_ANSWER_MS = 20.0  # how long a client waits for bytes after a complete response
+DUPLICATE_RESPONSE_MS = 20.0  # how long a client waits for surplus bytes after a complete response
 VIDEO_CLASS, VIDEO_PARTS = "lot-video", 4
-MIN_WAIT_FRACTION = 0.5  # of a class's longest wait
+MIN_WAIT_FRACTION = 0.5  # shortest wait, as a fraction of the class's longest
 WRITE_BODY = b"bid"
 CLIENT_HOST = "client"
 
@@ -28,11 +28,11 @@
     """Sends requests as a Poisson process for the scenario's duration and records what clients observe.
 
     Args:
-        loop: Where clients run, in the name of the host `client`.
-        scenario: Gives the traffic.
-        directors: Whom requests are sent to, by name.
-        history: What clients observe is written here.
-        rng: Of all draws.
+        loop: The event loop in which clients run, in the name of the host `client`.
+        scenario: Describes the traffic.
+        directors: The directors that requests are sent to, by name.
+        history: Records the requests and the responses that clients observe.
+        rng: Source of all random draws.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._cumulative_shares = list(itertools.accumulate(traffic.class_shares.values()))
 
     async def run(self) -> None:
-        """Sends requests until the scenario's end, and waits until all clients are done."""
+        """Sends requests until the scenario's end, then waits until all clients are done."""
         clients = []
         number = 0
         while self._loop.time() < self._scenario.duration_s:
@@ -87,7 +87,7 @@
         return request
 
     async def _send(self, request: ObservedRequest) -> None:
-        """Sends a request and waits for its response until it would count as lost."""
+        """Sends a request and waits for its response until the time at which it would count as lost."""
         address = self._directors[request.director].front.address
         data = encode(request)
         writer = None
@@ -98,7 +98,7 @@
                 writer.write(data)
                 await self._receive(request, reader)
         except TimeoutError:
-            pass  # the client leaves; a request without a response breaks a rule
+            pass  # the client closes its connection; a request without a response violates a rule
         except (OSError, asyncio.IncompleteReadError) as error:
             request.broken_at_ms = self._loop.unix_ms()
             if getattr(error, "partial", b""):
@@ -115,16 +115,16 @@
         request.responses.append(response)
         request.has_retry_after = "retry-after" in headers
         try:
-            async with asyncio.timeout(SECOND_ANSWER_MS / 1000.0):
-                more = await reader.read(1)
+            async with asyncio.timeout(DUPLICATE_RESPONSE_MS / 1000.0):
+                surplus = await reader.read(1)
         except TimeoutError:
             return
-        if more:
-            request.responses.append(ObservedResponse(self._loop.unix_ms(), 0, more))
+        if surplus:
+            request.responses.append(ObservedResponse(self._loop.unix_ms(), 0, surplus))
 
 
 def encode(request: ObservedRequest) -> bytes:
-    """Encodes a request; one of a class that may not be repeated is a write."""
+    """Encodes a request; requests of a class that must not be repeated are writes."""
     is_write = REQUEST_CLASSES[request.class_name]["repeat"] == "once"
     return encode_request(
         f"/invoke/{request.class_name}/{request.object_name}?nth={request.part}",
--- a/gladewalk/rehearsal/virtual/faults.py
+++ b/gladewalk/rehearsal/virtual/faults.py
@@ -1,4 +1,4 @@
-"""Plays a scenario's faults: to servers, to the network, to the traffic and to the coordinator's feed."""
+"""Injects a scenario's faults into servers, the network, the traffic and the coordinator's feed."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .scenario import GROUP_COUNT, ScenarioFault, ScenarioFaultKind
 from .servers import MAX_PURGE_DELAY_S, ModelServer
 
-FEED_RECOVERY_MS = 7_000.0  # after this, an event counts as published though the feed is cut
+FEED_RECOVERY_MS = 7_000.0  # delay after which an event published during a feed cut counts as known
 COORDINATOR_HOST = "coordinator"
 
 
-class FaultPlayer:
+class ScenarioFaultInjector:
     """Begins and ends the faults of one run.
 
     Args:
@@ -27,9 +27,9 @@
         servers: The fleet's servers by name.
         director_names: The fleet's directors.
         coordinator: Publishes drains, restarts and purges.
-        traffic: Is multiplied by surges.
-        history: Drains and purges are written here.
-        rng: Of what purges concern and when servers obey.
+        traffic: The clients' traffic, whose rate surges multiply.
+        history: Records drains and purges.
+        rng: Draws the groups of a purge and when each server carries it out.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
         self._history, self._rng = history, rng
         self._feed_cuts = 0
 
-    async def play(self, fault: ScenarioFault) -> None:
-        """Plays one fault at its time, to its end."""
+    async def run(self, fault: ScenarioFault) -> None:
+        """Waits until the fault's time, begins it, and ends it after its duration."""
         await asyncio.sleep(fault.at_s)
         match fault.kind:
             case ScenarioFaultKind.SURGE:
@@ -65,14 +65,14 @@
                 with self._cut(pairs):
                     await asyncio.sleep(fault.duration_s)
             case _:
-                await self._play_at_server(fault, self._servers[fault.target])
+                await self._run_at_server(fault, self._servers[fault.target])
 
-    async def _play_at_server(self, fault: ScenarioFault, server: ModelServer) -> None:
+    async def _run_at_server(self, fault: ScenarioFault, server: ModelServer) -> None:
         match fault.kind:
             case ScenarioFaultKind.SILENT:
-                server.silent_count += 1
+                server.unresponsive_count += 1
                 await asyncio.sleep(fault.duration_s)
-                server.silent_count -= 1
+                server.unresponsive_count -= 1
             case ScenarioFaultKind.SLOW:
                 server.slowdown *= fault.amount
                 await asyncio.sleep(fault.duration_s)
@@ -104,7 +104,7 @@
         self._coordinator.publish_endpoints(server.stand_in)
 
     def _effective_ms(self) -> float:
-        """Returns when an event that is published now counts as known to the directors."""
+        """Returns the time at which an event that is published now counts as known to the directors."""
         return self._loop.unix_ms() + (FEED_RECOVERY_MS if self._feed_cuts else 0.0)
 
     async def _cut_feed(self, duration_s: float) -> None:
@@ -115,7 +115,7 @@
 
     @contextmanager
     def _cut(self, pairs: list[Pair]) -> Iterator[None]:
-        """Cuts these directions of the network."""
+        """Cuts these directions of the network while the context is active."""
         cut_counts = self._loop.network.cut_counts
         for pair in pairs:
             cut_counts[pair] += 1
@@ -126,7 +126,10 @@
                 cut_counts[pair] -= 1
 
     def _purge(self, fraction: float) -> None:
-        """Purges a fraction of all groups: published at once, obeyed by each server in a time of its own."""
+        """Purges a fraction of all groups.
+
+        The purges are published at once; each server carries one out after a random delay of its own.
+        """
         for group in self._rng.sample(range(GROUP_COUNT), max(1, round(fraction * GROUP_COUNT))):
             now_ms = self._loop.unix_ms()
             self._coordinator.publish(evict={"shard": group, "unix_ms": now_ms})
--- a/gladewalk/rehearsal/virtual/loop.py
+++ b/gladewalk/rehearsal/virtual/loop.py
@@ -1,9 +1,10 @@
-"""An asyncio event loop whose time is virtual and whose network is memory.
+"""An asyncio event loop with virtual time and an in-memory network.
 
-Time stands still while anything can run, and then jumps to the next timer: minutes take as long as their work
-does. Every random draw comes from one seed, and each event of the network goes into a hash, the trace: two
-runs of a seed have the same trace, in any process and on any machine. Code runs in the name of a host
-(`current_host`, which tasks and timers inherit), so that conditions can differ by sender and receiver.
+Virtual time does not advance while any callback is ready; then it jumps to the next timer, so a run takes
+only as long as its computations. All random draws come from one seed, and each network event is added to a
+hash, the trace: two runs with the same seed have the same trace, in any process and on any machine. Code runs
+in the name of a host (`current_host`, which tasks and timers inherit), so that network conditions can differ
+by sender and receiver.
 """
 
 from __future__ import annotations
@@ -25,10 +26,10 @@
 from .network import NetworkConditions
 from .streams import PendingConnection, Piece, VirtualListener, VirtualTransport, open_connection_pair
 
-START_UNIX_MS = 1_764_576_000_000.0  # when every run begins
-FIRST_PORT = 10_000
+START_UNIX_MS = 1_764_576_000_000.0  # Unix time at which every run begins
+FIRST_PORT = 10_000  # ports that the loop assigns are above it
 CLIENT_HOST = "127.0.0.1"
-CONNECT_RETRY_S = 1.0  # as the kernel sends SYN again
+CONNECT_RETRY_S = 1.0  # as a kernel retransmits SYN
 
 ResultT = TypeVar("ResultT")
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
@@ -36,29 +37,29 @@
 
 
 class DeadlockError(GladewalkError, RuntimeError):
-    """Every task waits and no timer is set: what is waited for can never happen."""
+    """Every task waits and no timer is set, so no task can ever continue."""
 
 
 class VirtualSelector(selectors.BaseSelector):
-    """Waits by moving the loop's time on; `now_s` is the loop's time."""
+    """Waits by advancing the loop's time; `now_s` is the loop's time."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self._keys: dict[Any, selectors.SelectorKey] = {}
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Moves time on by `timeout` seconds.
+        """Advances time by `timeout` seconds.
 
         Raises:
-            DeadlockError: There is no timeout.
+            DeadlockError: `timeout` is None.
         """
         if timeout is None:
-            raise DeadlockError("every task waits, and no timer is set")
+            raise DeadlockError("deadlock: every task is waiting and no timer is set")
         self.now_s += max(0.0, timeout)
         return []
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Keeps a key for the event loop's own wake-up socket."""
+        """Stores a key; only the event loop's own wake-up socket is registered."""
         self._keys[fileobj] = key = selectors.SelectorKey(fileobj, 0, events, data)
         return key
 
@@ -72,7 +73,7 @@
 
 
 class VirtualServer:
-    """What `create_server` returns; its one socket has an address and no more."""
+    """The server that `create_server` returns; its one socket provides only an address."""
 
     def __init__(self, loop: VirtualLoop, address: Address, factory: ProtocolFactory) -> None:
         self._loop, self._address = loop, address
@@ -87,15 +88,15 @@
             del self._loop.servers[self._address]
 
     async def wait_closed(self) -> None:
-        """Returns at once: connections do not hold up the end of a run."""
+        """Returns at once: a run ends without waiting for open connections."""
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     """Runs a director and its stand-ins in virtual time.
 
     Args:
-        seed: Of every random draw.
-        network: Delays and cuts; the default ones if None.
+        seed: Seed of all random draws.
+        network: Delays and cuts; the default conditions if None.
     """
 
     def __init__(self, seed: int, network: NetworkConditions | None = None) -> None:
@@ -105,7 +106,9 @@
         self.network = network or NetworkConditions(random.Random(self.random.random()))
         self.servers: dict[Address, VirtualServer] = {}
         self.event_count = 0
-        self.is_finished = False  # what is left is being cancelled, in no particular order
+        self.is_finished = (
+            False  # remaining tasks are being cancelled, in no defined order; no event is recorded
+        )
         self._listeners: dict[Address, tuple[VirtualListener, str]] = {}
         self._trace = hashlib.sha256()
         self._connection_count = 0
@@ -120,7 +123,7 @@
         return START_UNIX_MS + self.time() * 1000.0
 
     def environment(self) -> Environment:
-        """Returns what a director in this loop takes from its environment."""
+        """Returns the environment (clocks, listeners, random numbers) of a director in this loop."""
         return Environment(
             self.unix_ms,
             self.listen,
@@ -131,7 +134,7 @@
     def record_event(
         self, kind: str, connection_id: int, sender: str, receiver: str, piece: Piece = b""
     ) -> None:
-        """Adds one event of the network to the trace."""
+        """Adds a network event to the trace."""
         if self.is_finished:
             return
         self.event_count += 1
@@ -141,11 +144,11 @@
         self._trace.update(b"\n")
 
     def trace(self) -> str:
-        """Returns the hash of all events so far, in hexadecimal digits."""
+        """Returns the hash of all events so server_end, in hexadecimal digits."""
         return self._trace.hexdigest()
 
     def run_as(self, host: str, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
-        """Starts a task in the name of a host, and so all that the task starts."""
+        """Starts a task in the name of a host; everything that the task starts runs in that name too."""
         context = contextvars.copy_context()
         context.run(current_host.set, host)
         return self.create_task(work, context=context)
@@ -159,12 +162,12 @@
         return host, port
 
     def listen(self, address: Address, backlog: int, inherited_fd: int | None) -> VirtualListener:
-        """Opens a listener in memory (`Environment.listen`).
+        """Opens an in-memory listener (`Environment.listen`).
 
         Raises:
             OSError: The address is in use.
         """
-        assert inherited_fd is None, "no descriptor is inherited in memory"
+        assert inherited_fd is None, "a virtual listener cannot inherit a descriptor"
         listener = VirtualListener(self._assign_port(*address))
         current = self._listeners.get(listener.address)
         if current is not None and not current[0].is_closed:
@@ -173,7 +176,7 @@
         return listener
 
     def add_reader(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:  # type: ignore[override]
-        """Calls back in the caller's context whenever a virtual listener has connections."""
+        """Calls `callback` in the caller's context whenever a virtual listener has pending connections."""
         if not isinstance(fd, VirtualListener):
             return super().add_reader(fd, callback, *args)
         context = contextvars.copy_context()
@@ -195,7 +198,7 @@
     async def connect_accepted_socket(  # type: ignore[override]
         self, protocol_factory: ProtocolFactory, sock: PendingConnection, **options: Any
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Gives a connection that a virtual listener accepted its protocol."""
+        """Creates the protocol of a connection that a virtual listener has accepted."""
         protocol = protocol_factory()
         sock.transport.start(protocol)
         return sock.transport, protocol
@@ -203,7 +206,7 @@
     async def create_server(  # type: ignore[override]
         self, protocol_factory: ProtocolFactory, host: str = "", port: int = 0, **options: Any
     ) -> VirtualServer:
-        """Listens in memory.
+        """Starts an in-memory server.
 
         Raises:
             OSError: The address is in use.
@@ -219,10 +222,10 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: ProtocolFactory, host: str = "", port: int = 0, **options: Any
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connects to a listener in memory; waits for as long as either direction is cut.
+        """Connects to an in-memory listener; waits for as long as either direction is cut.
 
         Raises:
-            ConnectionRefusedError: Nobody listens at the address.
+            ConnectionRefusedError: There is no listener at the address.
         """
         client, address = current_host.get(), (host, port)
         server = await self._wait_for_handshake(client, address)
@@ -230,14 +233,14 @@
         connection_id = self._connection_count
         self.record_event("connect", connection_id, client, server)
         source = self._assign_port(CLIENT_HOST, 0)
-        near, far = open_connection_pair(self, connection_id, client, server, address, source)
-        self._deliver(far, address)
+        client_end, server_end = open_connection_pair(self, connection_id, client, server, address, source)
+        self._deliver(server_end, address)
         protocol = protocol_factory()
-        near.start(protocol)
-        return near, protocol
+        client_end.start(protocol)
+        return client_end, protocol
 
     async def _wait_for_handshake(self, client: str, address: Address) -> str:
-        """Waits for a round trip in which neither direction is cut; returns the host at the address."""
+        """Waits until a round trip ends with neither direction cut; returns the host at the address."""
         while True:
             server = self._host_at(address)
             request_ms = self.network.draw_delay_ms(client, server)
@@ -247,15 +250,15 @@
                 return server
             await asyncio.sleep(CONNECT_RETRY_S)
 
-    def _deliver(self, far: VirtualTransport, address: Address) -> None:
-        """Hands the far end of a new connection to who listens at the address."""
+    def _deliver(self, server_end: VirtualTransport, address: Address) -> None:
+        """Passes the server's end of a new connection to the listener at the address."""
         if (server := self.servers.get(address)) is not None:
-            self.call_soon(far.start, server.factory(), context=server.context)
+            self.call_soon(server_end.start, server.factory(), context=server.context)
             return
         listener, _ = self._listeners.get(address, (None, ""))
         if listener is None or listener.is_closed:
             raise ConnectionRefusedError(errno.ECONNREFUSED, os.strerror(errno.ECONNREFUSED))
-        listener.queue.append(PendingConnection(far))
+        listener.queue.append(PendingConnection(server_end))
         if listener.on_ready is not None:
             listener.on_ready()
 
@@ -265,14 +268,14 @@
         entry = self._listeners.get(address)
         return entry[1] if entry is not None else ""
 
-    # What else would reach the operating system.
+    # Replacements of other operations that use the operating system.
 
     def run_in_executor(self, executor: Any, func: Callable[..., Any], *args: Any) -> asyncio.Future[Any]:  # type: ignore[override]
-        """Runs a function at once in this thread: a disk takes no virtual time."""
+        """Runs a function at once in this thread; disk access takes no virtual time."""
         future: asyncio.Future[Any] = self.create_future()
         try:
             future.set_result(func(*args))
-        except Exception as error:  # noqa: BLE001 - an executor hands any error to whoever awaits the future
+        except Exception as error:  # noqa: BLE001 - an executor passes any error to the future
             future.set_exception(error)
         return future
 
@@ -289,7 +292,7 @@
     work: Callable[[VirtualLoop], Coroutine[Any, Any, ResultT]],
     network: NetworkConditions | None = None,
 ) -> tuple[ResultT, VirtualLoop]:
-    """Runs `work` to its end in a loop of its own; returns its result and the loop with its trace."""
+    """Runs `work` to its end in a new loop; returns its result and the loop with its trace."""
     loop = VirtualLoop(seed, network)
     try:
         asyncio.set_event_loop(loop)
--- a/gladewalk/rehearsal/virtual/rules.py
+++ b/gladewalk/rehearsal/virtual/rules.py
@@ -1,8 +1,8 @@
-"""The rules of the protocol page, checked over what clients and stand-ins observed.
+"""The rules of the protocol, checked against the events that clients and stand-ins recorded.
 
-Clients, servers and the coordinator write a history; after the run each rule reads it and names the request,
+Clients, servers and the coordinator write a history. After the run each rule reads it and yields the request,
 the time and the reason of every violation. No code is shared with the director. Times are virtual Unix time
-in ms; the page's limits are 50 ms longer on sockets.
+in ms; on sockets the protocol's time limits are 50 ms longer.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field
 
 SOCKET_TOLERANCE_MS = 50.0
-MAX_LATENESS_MS = 500.0  # after its deadline an answer is late for so long; then, or never, it is lost
-DRAIN_GRACE_MS = 250.0
-PURGE_GRACE_MS = 500.0
+MAX_LATENESS_MS = 500.0  # a response later than this after its deadline counts as lost
+DRAIN_GRACE_MS = 250.0  # how long after a drain is published attempts may still be sent
+PURGE_GRACE_MS = 500.0  # how long after a purge older copies may still be used
 MAX_ATTEMPTS = 6
-RETRY_AFTER_STATUSES = (429, 503)
+RETRY_AFTER_STATUSES = (429, 503)  # statuses that need a `Retry-After` header
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedResponse:
-    """One response as its client read it whole; status 0 stands for bytes that follow a complete response."""
+    """A complete response as its client read it; status 0 stands for surplus bytes after a response."""
 
     at_ms: float
     status: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class ObservedRequest:
-    """One request as its client saw it."""
+    """A request and what its client observed."""
 
     id: str
     class_name: str
@@ -48,18 +48,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ObservedAttempt:
-    """One attempt as a server read it."""
+    """An attempt as a server received it."""
 
     at_ms: float
     request_id: str
     server: str
-    source: str  # where a miss was to be filled from; empty for none
+    source: str  # the server that a miss was to be filled from; empty if none
     method: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProducedResponse:
-    """What a server sent for a request; `version_ms` is when the store made this copy."""
+    """A response that a server produced; `version_ms` is when the store created this copy."""
 
     request_id: str
     server: str
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainPeriod:
-    """From when a server was published as draining until it serves again."""
+    """The time from a server's publication as draining until it serves again."""
 
     published_at_ms: float
     until_ms: float = float("inf")
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PublishedPurge:
-    """A purge of a group: copies made before `made_before_ms` may not be served any more."""
+    """A purge of a group: copies created before `made_before_ms` must no longer be served."""
 
     published_at_ms: float
     group: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything that clients, servers and the coordinator observed."""
+    """All events that clients, servers and the coordinator recorded."""
 
     requests: dict[str, ObservedRequest] = field(default_factory=dict)
     attempts: list[ObservedAttempt] = field(default_factory=list)
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """A request that breaks a rule."""
+    """A request that violates a rule."""
 
     rule: str
     request_id: str
@@ -124,7 +124,7 @@
 
 
 def no_double_effect(history: History) -> Iterator[Violation]:
-    """A write takes effect once."""
+    """A write takes effect at most once."""
     last_at_ms = _last_attempts_ms(history)
     for request_id, count in history.write_counts.items():
         if count > 1:
@@ -133,7 +133,7 @@
 
 
 def drains_kept(history: History) -> Iterator[Violation]:
-    """A server gets no work, and is no fill's source, from `DRAIN_GRACE_MS` after its drain on."""
+    """From `DRAIN_GRACE_MS` after its drain on, a server gets no attempt and is the source of no fill."""
     for attempt in history.attempts:
         for name in (attempt.server, attempt.source):
             drain = history.drains.get(name)
@@ -147,7 +147,7 @@
 
 
 def purges_kept(history: History) -> Iterator[Violation]:
-    """What is sent later than `PURGE_GRACE_MS` after a purge is not answered from an older copy."""
+    """A request first attempted later than `PURGE_GRACE_MS` after a purge gets no older copy."""
     first_at_ms = {attempt.request_id: attempt.at_ms for attempt in reversed(history.attempts)}
     versions_ms = {(one.request_id, one.body): one.version_ms for one in history.produced}
     for request in history.requests.values():
@@ -173,7 +173,7 @@
 
 
 def attempts_bounded(history: History) -> Iterator[Violation]:
-    """A request is attempted `MAX_ATTEMPTS` times at most."""
+    """A request has at most `MAX_ATTEMPTS` attempts."""
     last_at_ms = _last_attempts_ms(history)
     for request_id, count in Counter(attempt.request_id for attempt in history.attempts).items():
         if count > MAX_ATTEMPTS:
@@ -181,7 +181,7 @@
 
 
 def answers_were_made(history: History) -> Iterator[Violation]:
-    """The body of a 200 is one that some server sent for this request."""
+    """The body of a 200 is one that some server produced for this request."""
     bodies: dict[str, set[bytes]] = defaultdict(set)
     for produced in history.produced:
         bodies[produced.request_id].add(produced.body)
@@ -193,7 +193,7 @@
 
 
 def refusals_worded(history: History) -> Iterator[Violation]:
-    """A 429 or 503 has `Retry-After`."""
+    """A response 429 or 503 has the header `Retry-After`."""
     for request in history.requests.values():
         for response in request.responses:
             if response.status in RETRY_AFTER_STATUSES and not request.has_retry_after:
@@ -202,7 +202,7 @@
 
 
 def nothing_invented(history: History) -> Iterator[Violation]:
-    """Servers get only what some client requested."""
+    """Servers receive only requests that some client sent."""
     for attempt in history.attempts:
         if attempt.request_id not in history.requests:
             reason = f"{attempt.server} got what no client asked for"
@@ -226,19 +226,19 @@
 
 
 def find_violations(history: History) -> list[Violation]:
-    """Returns every violation of every rule, the earliest first."""
+    """Returns the violations of all rules in ascending order of time."""
     violations = [violation for rule in RULES for violation in rule(history)]
     return sorted(violations, key=lambda one: (one.at_ms, one.rule, one.request_id))
 
 
 def describe_request(history: History, request_id: str) -> list[str]:
-    """Returns one line for each thing that is known of a request, in order of time."""
+    """Returns one line for each recorded event of a request, in ascending order of time."""
     events: list[tuple[float, str]] = []
     request = history.requests.get(request_id)
     if request is not None:
-        what = f"{request.class_name} {request.object_name}/{request.part}"
-        asked = f"asked of {request.director}: {what}, waits {request.wait_ms:.0f} ms"
-        events.append((request.sent_at_ms, asked))
+        target = f"{request.class_name} {request.object_name}/{request.part}"
+        description = f"asked of {request.director}: {target}, waits {request.wait_ms:.0f} ms"
+        events.append((request.sent_at_ms, description))
         events += [(one.at_ms, f"answered {one.status}, {len(one.body)} bytes") for one in request.responses]
         if request.broken_at_ms is not None:
             events.append((request.broken_at_ms, "its connection ended without a whole answer"))
--- a/gladewalk/rehearsal/virtual/scenario.py
+++ b/gladewalk/rehearsal/virtual/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios as TOML: the fleet, its traffic and a timeline of faults.
+"""Scenario files (TOML): the fleet, its traffic and a timeline of faults.
 
     seconds = 60.0
     [fleet]
@@ -8,16 +8,16 @@
     [traffic]
     per_s = 40.0
     objects = 400
-    zipf = 1.0                                  # how unevenly they are requested
+    zipf = 1.0                                  # exponent of the objects' popularity
     shares = { lot-video = 0.5, lot-page = 0.45, bid = 0.05 }
     [[fault]]
     at_s = 20.0
     for_s = 10.0
     kind = "silent"                             # see ScenarioFaultKind
-    who = "box-1"                               # box-N, hub-N, store; none for surge, purge and feed
+    who = "box-1"                               # box-N, hub-N or store; left out for surge, purge and feed
     amount = 2.0                                # surge, slow: a factor; purge, spoil, reset: a fraction
 
-Faults may overlap; each ends by itself. The same seed gives the same run.
+Faults may overlap; each ends after its own duration. Two runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 
 
 class ScenarioFaultKind(StrEnum):
-    """What a fault does; the values stand in scenario files."""
-
-    SILENT = "silent"  # the server reads requests and answers none
-    DRAIN = "drain"  # the cache is listed as draining, then as serving again
-    RESTART = "restart"  # the cache ends and starts again empty
-    CUT = "cut"  # nothing passes to or from the server
-    SLOW = "slow"  # the server's work takes `amount` times as long
-    TRUNCATE = "spoil"  # a fraction of responses breaks off in the middle
+    """The kinds of fault; the values are those in scenario files."""
+
+    SILENT = "silent"  # the server reads requests and responds to none
+    DRAIN = "drain"  # the endpoint list has the cache as draining, then as serving again
+    RESTART = "restart"  # the cache stops and starts again empty
+    CUT = "cut"  # no data passes to or from the server
+    SLOW = "slow"  # processing takes `amount` times as long at the server
+    TRUNCATE = "spoil"  # a fraction of responses is truncated in the middle
     RESET = "reset"  # a fraction of requests is processed and then reset
-    SURGE = "surge"  # `amount` times the traffic
-    PURGE = "purge"  # a fraction of all groups is purged
-    FEED = "feed"  # the coordinator's feed passes nothing
+    SURGE = "surge"  # the request rate is multiplied by `amount`
+    PURGE = "purge"  # a fraction of all purge groups is purged
+    FEED = "feed"  # directors receive no data from the coordinator's feed
 
 
 SERVER_FAULTS = (
@@ -69,17 +69,17 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; a key that it does not have is an error."""
+    """A table of a scenario file; an unknown key is an error."""
 
 
 class FleetTable(Table, frozen=True, rename={"caches": "boxes", "parents": "hubs", "cache_objects": "keeps"}):
-    """How many directors and servers there are, and what a cache server can do."""
+    """The number of directors and servers, and the capacity of a cache server."""
 
     directors: Annotated[int, Meta(ge=1, le=64)] = 2
     caches: Annotated[int, Meta(ge=1, le=400)] = 6
     parents: Annotated[int, Meta(ge=1, le=64)] = 2
-    slots: Annotated[int, Meta(ge=1, le=1_000)] = 16  # requests that a cache works on at a time
-    cache_objects: Annotated[int, Meta(ge=1, le=1_000_000)] = 400  # parts of objects that a cache holds
+    slots: Annotated[int, Meta(ge=1, le=1_000)] = 16  # requests that a cache processes at a time
+    cache_objects: Annotated[int, Meta(ge=1, le=1_000_000)] = 400  # parts of objects that a cache stores
 
 
 class TrafficTable(
@@ -87,7 +87,7 @@
     frozen=True,
     rename={"requests_per_s": "per_s", "zipf_exponent": "zipf", "class_shares": "shares"},
 ):
-    """The clients' requests: a Poisson process over objects whose popularity follows Zipf's law."""
+    """The clients' requests: a Poisson process; the popularity of objects follows Zipf's law."""
 
     requests_per_s: Annotated[float, Meta(gt=0.0, le=100_000.0)] = 40.0
     objects: Annotated[int, Meta(ge=1, le=10_000_000)] = 400
@@ -98,7 +98,7 @@
 
 
 class ScenarioFault(Table, frozen=True, rename={"duration_s": "for_s", "target": "who"}):
-    """One fault from `at_s` on, for `duration_s`; `target` is a server, or empty."""
+    """A fault that begins at `at_s` and lasts `duration_s`; `target` is a server's name or empty."""
 
     at_s: Annotated[float, Meta(ge=0.0)]
     kind: ScenarioFaultKind
@@ -108,7 +108,7 @@
 
 
 class Scenario(Table, frozen=True, rename={"duration_s": "seconds", "faults": "fault"}):
-    """A scenario file; requests are sent for `duration_s`."""
+    """The content of a scenario file; requests are sent for `duration_s`."""
 
     duration_s: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 60.0
     fleet: FleetTable = FleetTable()
@@ -117,17 +117,17 @@
 
 
 def server_names(fleet: FleetTable) -> list[str]:
-    """Returns every server's name: caches, parents, the store."""
+    """Returns the names of all servers: caches, parents, the store."""
     caches = [f"{CACHE_PREFIX}{number}" for number in range(fleet.caches)]
     parents = [f"{PARENT_PREFIX}{number}" for number in range(fleet.parents)]
     return [*caches, *parents, STORE_NAME]
 
 
 def check_scenario(scenario: Scenario, class_names: tuple[str, ...]) -> None:
-    """Checks what no single key shows.
+    """Checks constraints between several keys.
 
     Raises:
-        ConfigError: The scenario cannot be played; the text is `key: why`.
+        ConfigError: The scenario is invalid; the text is `key: reason`.
     """
     for name in scenario.traffic.class_shares:
         if name not in class_names:
@@ -151,14 +151,14 @@
 
 
 def load_scenario(path: Path, class_names: tuple[str, ...]) -> Scenario:
-    """Reads a scenario's file.
+    """Reads and checks a scenario file.
 
     Args:
         path: The file.
-        class_names: The request classes that the settings have.
+        class_names: The request classes in the settings.
 
     Raises:
-        ConfigError: The scenario cannot be played; the text is one line, `file: key: why`.
+        ConfigError: The scenario is invalid; the text is one line, `file: key: reason`.
     """
     scenario = load_toml(path, Scenario, syntax_error_prefix="")
     with prefix_config_errors(path):
@@ -167,12 +167,12 @@
 
 
 def encode_scenario(scenario: Scenario) -> str:
-    """Renders a scenario as the text of its file."""
+    """Returns the text of a scenario file."""
     return tomli_w.dumps(msgspec.to_builtins(scenario))
 
 
 def generate_scenario(seed: int, duration_s: float = 30.0) -> Scenario:
-    """Draws a small fleet with up to four faults, which may overlap."""
+    """Generates a small random fleet with one to four faults, which may overlap."""
     rng = random.Random(seed)
     fleet = FleetTable(directors=rng.randint(1, 3), caches=rng.randint(3, 8), parents=rng.randint(1, 3))
     faults = [_draw_fault(rng, fleet, duration_s) for _ in range(rng.randint(1, MAX_DRAWN_FAULTS))]
--- a/gladewalk/rehearsal/virtual/scenario_run.py
+++ b/gladewalk/rehearsal/virtual/scenario_run.py
@@ -1,4 +1,4 @@
-"""Plays a scenario to real directors in virtual time and checks what was observed against the rules."""
+"""Runs a scenario against real directors in virtual time and checks its history against the rules."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from ..coordinator import Coordinator
 from ..director_harness import SETTINGS, config_for
 from .clients import REQUEST_CLASSES, ClientTraffic
-from .faults import COORDINATOR_HOST, FaultPlayer
+from .faults import COORDINATOR_HOST, ScenarioFaultInjector
 from .loop import VirtualLoop, run_virtually
 from .rules import RETRY_AFTER_STATUSES, History, ObservedRequest, Violation, find_violations
 from .scenario import CACHE_PREFIX, PARENT_PREFIX, STORE_NAME, FleetTable, Scenario
 from .servers import CACHE_MODEL, PARENT_MODEL, STORE_MODEL, ModelServer
 
-HEARTBEAT_S = 1.0  # of the coordinator's feed
-PARENT_COPIES_FACTOR = 10  # times the parts that a cache holds
-UNLIMITED_SLOTS_FACTOR = 50  # parents and the store work on so many times a cache's requests
+HEARTBEAT_S = 1.0  # interval at which the coordinator's feed sends its last index
+PARENT_COPIES_FACTOR = 10  # a parent stores this many times the parts that a cache stores
+UNLIMITED_SLOTS_FACTOR = 50  # parents and the store have this many times a cache's slots
 SUCCESS_STATUSES = (200, 304)
 
 DirectorChange = Callable[[Director], None]
 
 
 class Outcome(StrEnum):
-    """What became of a request; the values stand in reports."""
+    """The outcome of a request; the values are written to reports."""
 
-    SERVED = "served"  # within its class's latency objective
-    LATE = "late"
-    REFUSED = "refused"
-    FAILED = "failed"
-    BROKEN = "broken"  # its connection ended without a complete response
-    LOST = "lost"
+    SERVED = "served"  # with success, within the class's latency objective
+    LATE = "late"  # with success, after the latency objective
+    REFUSED = "refused"  # status 429 or 503
+    FAILED = "failed"  # any other status
+    BROKEN = "broken"  # the connection ended without a complete response
+    LOST = "lost"  # no response in time
 
 
 def classify(request: ObservedRequest) -> Outcome:
-    """Returns what became of a request, by its first response."""
+    """Returns the outcome of a request, according to its first response."""
     if not request.responses:
         return Outcome.LOST if request.broken_at_ms is None else Outcome.BROKEN
     first = request.responses[0]
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The result of one run: violations, outcomes by class, the trace, and the history behind them."""
+    """The result of one run: violations, outcomes by class, the trace, and the history they come from."""
 
     violations: list[Violation]
     outcomes: dict[str, Counter[Outcome]]
@@ -69,7 +69,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no rule is broken."""
+        """Whether no rule is violated."""
         return not self.violations
 
     def report(self) -> dict[str, Any]:
@@ -94,9 +94,9 @@
     """One run of a scenario.
 
     Args:
-        loop: Gives time, network and the seed.
-        scenario: What is played.
-        change: Is done to every director before it starts (by tests that break it).
+        loop: Provides virtual time, the network and the random numbers of the seed.
+        scenario: The scenario to run.
+        change: Applied to every director before it starts; tests use it to break the director.
         settings: The platform's settings.
     """
 
@@ -117,11 +117,11 @@
         self._traffic = ClientTraffic(loop, scenario, self._directors, self._history, self._rng)
 
     async def run(self) -> Verdict:
-        """Starts the fleet, plays traffic and faults to their ends, and checks the history."""
+        """Starts the fleet, runs traffic and faults to their ends, and checks the history."""
         started_s = time.perf_counter()
         await self._start_servers()
         await self._start_directors()
-        player = FaultPlayer(
+        injector = ScenarioFaultInjector(
             self._loop,
             self._servers,
             list(self._directors),
@@ -130,7 +130,7 @@
             self._history,
             self._rng,
         )
-        faults = [asyncio.ensure_future(player.play(fault)) for fault in self._scenario.faults]
+        faults = [asyncio.ensure_future(injector.run(fault)) for fault in self._scenario.faults]
         heartbeat = asyncio.ensure_future(self._send_heartbeats())
         await self._traffic.run()
         await asyncio.gather(*faults)
@@ -210,5 +210,5 @@
 
 
 def silence_logs() -> None:
-    """Turns off what directors log below `critical`: the verdict is what a run is for."""
+    """Turns off log messages below `critical`; a run reports by its verdict alone."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
--- a/gladewalk/rehearsal/virtual/scenario_search.py
+++ b/gladewalk/rehearsal/virtual/scenario_search.py
@@ -1,4 +1,4 @@
-"""Searches for scenarios that break a rule, and minimizes them to the faults that are needed for it."""
+"""Searches for scenarios that violate a rule, and reduces each to the faults that the violation needs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A scenario that breaks a rule with `seed`, as generated and as minimized."""
+    """A scenario that violates a rule when run with `seed`, as generated and as minimized."""
 
     seed: int
     rule: str
@@ -23,15 +23,16 @@
     minimized: Scenario
 
 
-def breaks_rule(scenario: Scenario, seed: int, rule: str, change: DirectorChange | None) -> bool:
+def violates_rule(scenario: Scenario, seed: int, rule: str, change: DirectorChange | None) -> bool:
     """Whether a run of the scenario violates the rule."""
     return any(violation.rule == rule for violation in run_scenario(scenario, seed, change).violations)
 
 
 def minimize(scenario: Scenario, seed: int, rule: str, change: DirectorChange | None = None) -> Scenario:
-    """Removes faults that the violation does not need, then halves the others while it persists.
+    """Removes faults that the violation does not need, then halves the durations of the others.
 
-    Each step runs the whole scenario anew, since a fault left out changes all that follows.
+    A change is kept only if the violation persists. Each step reruns the whole scenario, because omitting a
+    fault changes everything that follows it.
     """
     return _shorten_faults(_remove_faults(scenario, seed, rule, change), seed, rule, change)
 
@@ -40,7 +41,7 @@
     for fault in list(scenario.faults):
         remaining = [one for one in scenario.faults if one is not fault]
         smaller = msgspec.structs.replace(scenario, faults=remaining)
-        if breaks_rule(smaller, seed, rule, change):
+        if violates_rule(smaller, seed, rule, change):
             scenario = smaller
     return scenario
 
@@ -51,16 +52,16 @@
             faults = list(scenario.faults)
             faults[number] = msgspec.structs.replace(faults[number], duration_s=duration_s)
             shorter = msgspec.structs.replace(scenario, faults=faults)
-            if not breaks_rule(shorter, seed, rule, change):
+            if not violates_rule(shorter, seed, rule, change):
                 break
             scenario = shorter
     return scenario
 
 
 def find_failing_scenarios(seeds: Iterable[int], change: DirectorChange | None = None) -> list[Finding]:
-    """Generates and runs a scenario for each seed; returns a finding for each that breaks a rule.
+    """Generates and runs a scenario for each seed; returns a finding for each that violates a rule.
 
-    A finding is about the first violation of its run.
+    A finding names the rule of the first violation in its run.
     """
     findings = []
     for seed in seeds:
--- a/gladewalk/rehearsal/virtual/servers.py
+++ b/gladewalk/rehearsal/virtual/servers.py
@@ -1,8 +1,9 @@
-"""Model servers after the protocol page: cache servers, parent caches and the store that makes every copy.
+"""Model servers that follow the cache protocol: cache servers, parent caches and the store.
 
-A cache holds what it is told to store and evicts the least recently used part; it fills a miss from the
-source it is told; it works on a limited number of requests and sheds the others; it drops older copies within
-some seconds of a purge. Concurrent misses share one fill. The store makes every copy, and executes writes.
+A cache stores the parts that requests tell it to store, and evicts the least recently used part. It fills a
+miss from the source named in the request; concurrent misses share one fill. It processes a limited number of
+requests at a time and rejects the others; it drops older copies within some seconds of a purge. The store
+creates every copy and executes writes.
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
 from .rules import History, ObservedAttempt, ProducedResponse
 from .scenario import GROUP_COUNT, STORE_NAME
 
-CACHE_WORK_MS = (4.0, 20.0)
+CACHE_WORK_MS = (4.0, 20.0)  # range of a request's processing time without queueing
 STORE_WORK_MS = (25.0, 60.0)
 FILL_TIMEOUT_S = 3.0
-QUEUE_FRACTION = 1.0  # of the slots: so many more requests may wait
-MAX_PURGE_DELAY_S = 6.0  # within this time of a purge a cache has dropped what is older
-BREAK_OFF_DELAY_S = 0.01
-FILL_REQUEST_ID = "fill"  # of one server's request to another
+QUEUE_FRACTION = 1.0  # length of the queue of waiting requests, as a fraction of the slots
+MAX_PURGE_DELAY_S = 6.0  # within this time of a purge a cache has dropped all older copies
+BREAK_OFF_DELAY_S = 0.01  # between the first half of a truncated response and the reset
+FILL_REQUEST_ID = "fill"  # request id of one server's request to another
 CACHE_MODEL, PARENT_MODEL, STORE_MODEL = "standard", "parent", "origin"
 PROBE_PATHS = ("/load", "/alive")
 
 
 class ObjectKey(NamedTuple):
-    """A part of an object; the name is a hexadecimal number."""
+    """Identifies a part of an object; the object's name is a hexadecimal number."""
 
     class_name: str
     object_name: str
@@ -40,20 +41,20 @@
 
     @property
     def group(self) -> int:
-        """The purge group."""
+        """The object's purge group."""
         return int(self.object_name, 16) % GROUP_COUNT
 
 
 @dataclass(slots=True, frozen=True)
 class ObjectCopy:
-    """A copy of a part; the store made it at `made_ms`."""
+    """A copy of a part; the store created it at `made_ms`."""
 
     body: bytes
     made_ms: float
 
 
 class FillError(GladewalkError):
-    """A fill has failed; the text is the header `X-Remark` of the answer."""
+    """A fill has failed; the text is sent in the response's header `X-Remark`."""
 
 
 FILL_ERRORS = (FillError, OSError, asyncio.IncompleteReadError)
@@ -65,13 +66,13 @@
     Args:
         name: The server's name in the scenario.
         model: `standard`, `parent` or `origin`.
-        host: Its address.
-        slots: The requests that it works on at a time.
-        max_copies: The parts that it holds.
+        host: The server's IP address.
+        slots: How many requests it processes at a time.
+        max_copies: How many parts it stores at most.
         servers: All servers of the fleet by name; fills are sent to them.
-        history: What happens is written here.
-        clock: Unix time in ms.
-        rng: Of its own draws.
+        history: Records attempts, responses and writes.
+        clock: Returns the Unix time in ms.
+        rng: Source of the server's random draws.
     """
 
     def __init__(
@@ -90,14 +91,16 @@
         self._slots, self._max_copies = slots, max_copies
         self._servers, self._history, self._clock, self._rng = servers, history, clock, rng
         zone = "edge-1" if model == CACHE_MODEL else "north"
-        self.stand_in = ScriptedServer(self.answer, uid=name, model=model, host=host, zone=zone, capacity=4.0)
+        self.stand_in = ScriptedServer(
+            self.handle_request, uid=name, model=model, host=host, zone=zone, capacity=4.0
+        )
         self._copies: OrderedDict[ObjectKey, ObjectCopy] = OrderedDict()
-        self._purged_before_ms: dict[int, float] = {}  # by group
+        self._purged_before_ms: dict[int, float] = {}  # by purge group
         self._fills: dict[tuple[ObjectKey, float], asyncio.Task[ObjectCopy]] = {}
         self._writers: dict[asyncio.StreamWriter, None] = {}  # a set in the order of insertion
         self._busy_slots = 0
-        # Faults in force.
-        self.silent_count = 0
+        # Faults that are active now.
+        self.unresponsive_count = 0
         self.slowdown = 1.0
         self.truncation_rate = self.reset_rate = 0.0
 
@@ -109,7 +112,7 @@
     # Life cycle.
 
     def crash(self) -> None:
-        """Ends the server: connections are reset and its copies are lost."""
+        """Stops the server, resets its connections and discards its copies."""
         self.stand_in.stop()
         for writer in self._writers:
             writer.transport.abort()
@@ -122,7 +125,10 @@
         self.stand_in.boot_ms = self._clock()
 
     def purge(self, group: int, made_before_ms: float) -> None:
-        """Drops older copies of a group, and stores none of them again: other caches may still hold them."""
+        """Drops the older copies of a group and stores none of them again.
+
+        Other caches may still have such copies and send them in fills.
+        """
         self._purged_before_ms[group] = max(made_before_ms, self._purged_before_ms.get(group, 0.0))
         stale_keys = [
             key for key, copy in self._copies.items() if key.group == group and copy.made_ms < made_before_ms
@@ -132,19 +138,19 @@
 
     # Requests.
 
-    async def answer(self, request: ReceivedRequest) -> None:
-        """Answers a request as the protocol page has it; the stand-in's script."""
+    async def handle_request(self, request: ReceivedRequest) -> None:
+        """Responds to a request as the cache protocol requires; the stand-in's script."""
         self._writers[request.writer] = None
         request_id = request.headers.get("x-ticket", "")
         if request.path in PROBE_PATHS:
-            if not self.silent_count:
+            if not self.unresponsive_count:
                 await request.respond(200)
             return
         if request_id != FILL_REQUEST_ID:
             source = request.headers.get("miss-to", "")
             attempt = ObservedAttempt(self._clock(), request_id, self.name, source, request.method)
             self._history.attempts.append(attempt)
-        if self.silent_count:
+        if self.unresponsive_count:
             return
         if self._busy_slots >= self._slots * (1.0 + QUEUE_FRACTION):
             await request.respond(503, X_Shed="1")
@@ -162,11 +168,11 @@
         await asyncio.sleep(work_ms * self.slowdown * queueing_factor / 1000.0)
 
     async def _write(self, request: ReceivedRequest) -> None:
-        """Executes a write at the store; a cache passes it on."""
+        """Executes a write at the store; a cache forwards it to its source."""
         request_id = request.headers.get("x-ticket", "")
         if self.is_store:
-            is_passed_on = request_id == FILL_REQUEST_ID
-            original_id = request.headers.get("x-for", "") if is_passed_on else request_id
+            is_forwarded = request_id == FILL_REQUEST_ID
+            original_id = request.headers.get("x-for", "") if is_forwarded else request_id
             self._history.write_counts[original_id] += 1
             body = b"taken " + request.body
         else:
@@ -185,15 +191,15 @@
         if self.is_store:
             await self._respond(request, self._make_copy(key), "origin")
             return
-        held = self._copies.get(key)
+        cached = self._copies.get(key)
         max_age_ms = float(request.headers.get("no-older-than", "0") or 0)
-        if held is not None and (not max_age_ms or self._clock() - held.made_ms <= max_age_ms):
+        if cached is not None and (not max_age_ms or self._clock() - cached.made_ms <= max_age_ms):
             self._copies.move_to_end(key)
-            await self._respond(request, held, "mem")
+            await self._respond(request, cached, "mem")
             return
-        await self._answer_miss(request, key, max_age_ms)
+        await self._respond_to_miss(request, key, max_age_ms)
 
-    async def _answer_miss(self, request: ReceivedRequest, key: ObjectKey, max_age_ms: float) -> None:
+    async def _respond_to_miss(self, request: ReceivedRequest, key: ObjectKey, max_age_ms: float) -> None:
         is_parent = self.stand_in.model == PARENT_MODEL
         source = STORE_NAME if is_parent else request.headers.get("miss-to", "")
         if not source or "have-only" in request.headers.get("handling", "").split("+"):
@@ -215,10 +221,10 @@
         return ObjectCopy(text * (2 + int(key.object_name, 16) % 20), made_ms)
 
     def _store(self, key: ObjectKey, copy: ObjectCopy) -> None:
-        held = self._copies.get(key)
+        cached = self._copies.get(key)
         if copy.made_ms < self._purged_before_ms.get(key.group, 0.0):
             return
-        if held is None or held.made_ms < copy.made_ms:
+        if cached is None or cached.made_ms < copy.made_ms:
             self._copies[key] = copy
         self._copies.move_to_end(key)
         while len(self._copies) > self._max_copies:
@@ -227,7 +233,7 @@
     # Fills.
 
     async def _fill(self, key: ObjectKey, path: str, source: str, max_age_ms: float) -> ObjectCopy:
-        """Fetches a part once for all who wait for it with the same limit of its age."""
+        """Fetches a part once for all requests that wait for it with the same maximum age."""
         slot = key, max_age_ms
         task = self._fills.get(slot)
         if task is None:
@@ -239,7 +245,7 @@
     def _end_fill(self, slot: tuple[ObjectKey, float], done: asyncio.Task[ObjectCopy]) -> None:
         del self._fills[slot]
         if not done.cancelled():
-            done.exception()  # marks it as retrieved: those who waited may have gone
+            done.exception()  # marks the error as retrieved: all waiting requests may have been cancelled
 
     async def _fetch(self, path: str, source: str, max_age_ms: float) -> ObjectCopy:
         response = await self._send(source, "GET", path, b"", No_Older_Than=f"{max_age_ms:.0f}")
@@ -249,7 +255,7 @@
         """Sends a request to another server of the fleet.
 
         Raises:
-            FillError: There is no such server, or it does not answer 200.
+            FillError: There is no such server, or its response is not a 200.
         """
         server = self._servers.get(source)
         if server is None:
@@ -269,7 +275,7 @@
         if request_id != FILL_REQUEST_ID:
             produced = ProducedResponse(request_id, self.name, copy.body, copy.made_ms)
             self._history.produced.append(produced)
-        if self.reset_rate and self._rng.random() < self.reset_rate:  # processed, and not answered
+        if self.reset_rate and self._rng.random() < self.reset_rate:  # processed, without a response
             request.writer.transport.abort()
             return
         if self.truncation_rate and self._rng.random() < self.truncation_rate:
@@ -279,7 +285,7 @@
         await request.respond(200, copy.body, X_Remark=remark, Made_At=made_at, Tag=f"{copy.made_ms:.0f}")
 
     async def _break_off(self, request: ReceivedRequest, body: bytes) -> None:
-        """Resets the connection in the middle of the body."""
+        """Sends half of the body, then resets the connection."""
         headers = {"Content-Length": len(body)}
         request.writer.write(encode_message("HTTP/1.1 200 X", headers, body[: len(body) // 2]))
         await asyncio.sleep(BREAK_OFF_DELAY_S)
@@ -287,7 +293,7 @@
 
 
 async def exchange(address: str, data: bytes) -> Http1Message:
-    """Sends a request on a connection of its own and returns the response."""
+    """Sends a request on a new connection and returns the response."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
--- a/gladewalk/rehearsal/virtual/streams.py
+++ b/gladewalk/rehearsal/virtual/streams.py
@@ -1,7 +1,8 @@
-"""Byte streams in memory that split, delay, stall, reset and half-close as TCP connections do.
+"""In-memory byte streams that split, delay, stall, reset and half-close like TCP connections.
 
-What is written leaves in pieces of any size, arrives in order after the network's delay, waits at the
-receiver while it does not read, and counts against the writer's buffer until it has been read.
+Written data is sent in pieces of random size, which arrive in order after the network's delay. A piece is
+buffered at the receiver while the receiver does not read, and counts against the writer's buffer until it
+has been read.
 """
 
 from __future__ import annotations
@@ -20,25 +21,25 @@
     from .loop import VirtualLoop
 
 HIGH_WATER_BYTES = 64 * 1024  # unread bytes at which a writer is paused
-LOW_WATER_BYTES = 16 * 1024  # unread bytes at which it is resumed
-KERNEL_BUFFER_BYTES = 256 * 1024  # of both sockets, which a writer does not see
-MAX_PIECE_BYTES = 64 * 1024  # that arrive at once
-SPLIT_PROBABILITY = 0.2  # that a write arrives in two pieces
-MIN_SPACING_S = 1e-6  # between two pieces
-RETRANSMIT_S = 0.05  # while the direction is cut
+LOW_WATER_BYTES = 16 * 1024  # unread bytes at which a paused writer is resumed
+KERNEL_BUFFER_BYTES = 256 * 1024  # of both sockets together; not part of the write buffer size
+MAX_PIECE_BYTES = 64 * 1024  # the most bytes that arrive at once
+SPLIT_PROBABILITY = 0.2  # probability that a piece of a write is split in two
+MIN_SPACING_S = 1e-6  # least time between the arrivals of two pieces
+RETRANSMIT_S = 0.05  # time between delivery attempts while the direction is cut
 
 EOF, RESET = "eof", "reset"
-Piece = bytes | str  # data, or one of the two ends
+Piece = bytes | str  # data, or one of the markers EOF and RESET
 
 
 class VirtualSocketPoll:
-    """The readiness of a virtual transport, as `net.sockets.SocketPoll`."""
+    """Reports the readiness of a virtual transport; has the interface of `net.sockets.SocketPoll`."""
 
     def __init__(self, transport: VirtualTransport) -> None:
         self._transport = transport
 
     def poll(self, timeout: float | None = None, /) -> list[tuple[int, int]]:
-        """Returns what the transport's socket would be ready for."""
+        """Returns the events for which a real socket in the transport's state would be ready."""
         inbox = self._transport.inbox
         if self._transport.is_lost or EOF in inbox or RESET in inbox:
             return [(0, READABLE_EVENTS)]
@@ -49,11 +50,11 @@
     """One end of a connection; `peer` is its other end.
 
     Args:
-        loop: Gives time, delays and the trace.
+        loop: Provides the time, the network's delays and the trace.
         connection_id: The connection's number in the trace.
         sender: The host at this end.
         receiver: The host at the other end.
-        extra: What `get_extra_info` returns.
+        extra: The values that `get_extra_info` returns.
     """
 
     def __init__(
@@ -63,19 +64,19 @@
         self._loop, self._connection_id = loop, connection_id
         self._sender, self._receiver = sender, receiver
         self.peer: VirtualTransport | None = None
-        self.inbox: deque[Piece] = deque()  # arrived and unread
-        self.is_lost = False  # the protocol has been told of the end
+        self.inbox: deque[Piece] = deque()  # arrived, not yet read by the protocol
+        self.is_lost = False  # the protocol has been notified by `connection_lost`
         self._protocol: asyncio.BaseProtocol | None = None
-        self._context = contextvars.copy_context()  # of the protocol's callbacks: its own host's
-        self._in_flight: deque[Piece] = deque()  # sent, and held back while the direction is cut
-        self._unread_bytes = 0  # written, and not yet read by the other end
-        self._last_arrival_s = 0.0  # of what was sent, so that no piece overtakes another
+        self._context = contextvars.copy_context()  # of the protocol's callbacks, with their host
+        self._in_flight: deque[Piece] = deque()  # past its delay; buffered while the direction is cut
+        self._unread_bytes = 0  # written, not yet read by the other end
+        self._last_arrival_s = 0.0  # arrival time of the latest piece; no later piece may arrive before it
         self._is_reading = True
         self._is_closing = self._has_written_eof = self._is_writing_paused = False
         self._high_water, self._low_water = HIGH_WATER_BYTES, LOW_WATER_BYTES
 
     def start(self, protocol: asyncio.BaseProtocol) -> None:
-        """Connects the protocol, which is called in the caller's context from now on."""
+        """Connects the protocol; its callbacks run in the caller's context from now on."""
         self._protocol, self._context = protocol, contextvars.copy_context()
         protocol.connection_made(self)
         self._read_inbox()
@@ -83,10 +84,10 @@
     # Writing.
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Sends bytes in pieces, and pauses the writer over the high-water mark.
+        """Sends bytes in pieces, and pauses the writer above the high-water mark.
 
         Raises:
-            RuntimeError: The end has been written.
+            RuntimeError: `write_eof` has been called.
         """
         if self._has_written_eof:
             raise RuntimeError("Cannot call write() after write_eof()")
@@ -136,7 +137,7 @@
             self._record("came", piece)
             peer.inbox.append(piece)
             peer._read_inbox()
-        elif isinstance(piece, bytes):  # nobody is there to read it
+        elif isinstance(piece, bytes):  # data for a closed connection is answered with a reset
             error = ConnectionResetError("reset by peer")
             self._loop.call_soon(self._lose_connection, error, context=self._context)
 
@@ -170,20 +171,20 @@
             self._loop.call_soon(resume, context=self._context)
 
     def pause_reading(self) -> None:
-        """Leaves what arrives unread."""
+        """Stops reading; data that arrives stays in the inbox."""
         self._is_reading = False
 
     def resume_reading(self) -> None:
-        """Reads what has arrived meanwhile, and what arrives."""
+        """Reads the data in the inbox and all data that arrives later."""
         if not self._is_reading:
             self._is_reading = True
             self._loop.call_soon(self._read_inbox, context=self._context)
 
     def is_reading(self) -> bool:
-        """Whether the protocol is given what arrives."""
+        """Whether data that arrives is passed to the protocol."""
         return self._is_reading
 
-    # Ends.
+    # Closing.
 
     def can_write_eof(self) -> bool:
         """Returns True: a connection can be half-closed."""
@@ -196,7 +197,7 @@
             self._send(EOF)
 
     def close(self) -> None:
-        """Closes the connection; one with unread input is reset, as by the kernel."""
+        """Closes the connection; resets it if there is unread input, as the kernel does."""
         if self._is_closing:
             return
         if not self._has_written_eof:
@@ -224,7 +225,7 @@
         return self._is_closing
 
     def get_write_buffer_size(self) -> int:
-        """Returns the unread bytes beyond those that the kernel's buffers hold."""
+        """Returns the number of unread bytes that do not fit into the kernel's buffers."""
         return max(0, self._unread_bytes - KERNEL_BUFFER_BYTES)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
@@ -232,7 +233,7 @@
         return self._low_water, self._high_water
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Sets the marks in bytes; the low one is a quarter of the high one by default."""
+        """Sets the water marks in bytes; the low one is a quarter of the high one by default."""
         self._high_water = HIGH_WATER_BYTES if high is None else high
         self._low_water = self._high_water // 4 if low is None else low
 
@@ -254,27 +255,27 @@
     address: Address,
     source: Address,
 ) -> tuple[VirtualTransport, VirtualTransport]:
-    """Returns the client's and the server's end of a new connection, both without a protocol."""
-    near_extra = {"peername": address, "sockname": source}
-    far_extra = {"peername": source, "sockname": address}
-    near = VirtualTransport(loop, connection_id, client, server, near_extra)
-    far = VirtualTransport(loop, connection_id, server, client, far_extra)
-    near.peer, far.peer = far, near
-    return near, far
+    """Creates a connection and returns the client's and the server's end, both without a protocol."""
+    client_extra = {"peername": address, "sockname": source}
+    server_extra = {"peername": source, "sockname": address}
+    client_end = VirtualTransport(loop, connection_id, client, server, client_extra)
+    server_end = VirtualTransport(loop, connection_id, server, client, server_extra)
+    client_end.peer, server_end.peer = server_end, client_end
+    return client_end, server_end
 
 
 class PendingConnection:
-    """A connection that waits to be accepted; stands for the socket that `accept` returns."""
+    """A connection in a listener's queue; stands for the socket that `accept` returns."""
 
     def __init__(self, transport: VirtualTransport) -> None:
         self.transport = transport
 
     def setsockopt(self, *arguments: Any) -> None:
-        """Does nothing: there is no Nagle algorithm here."""
+        """Does nothing: virtual connections have no socket options such as `TCP_NODELAY`."""
 
 
 class VirtualListener:
-    """A listener in memory (`net.environment.Listener`) with its queue of pending connections."""
+    """An in-memory listener (`net.environment.Listener`) with its queue of pending connections."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -283,22 +284,22 @@
         self.is_closed = False
 
     def accept(self) -> tuple[PendingConnection, Address]:
-        """Returns a connection and its peer's address; raises `BlockingIOError` if none waits."""
+        """Returns a connection and its peer's address; raises `BlockingIOError` if the queue is empty."""
         if not self.queue:
             raise BlockingIOError
         connection = self.queue.popleft()
         return connection, connection.transport.get_extra_info("peername")
 
     def close(self) -> None:
-        """Stops listening and resets the connections that wait."""
+        """Stops listening and resets the connections in the queue."""
         self.is_closed = True
         while self.queue:
             self.queue.popleft().transport.abort()
 
     def getsockname(self) -> Address:
-        """Returns the address that is listened at."""
+        """Returns the listening address."""
         return self.address
 
     def fileno(self) -> int:
-        """Returns -1: there is no descriptor."""
+        """Returns -1: a virtual listener has no file descriptor."""
         return -1
