--- a/gladewalk/rehearsal/coordinator.py
+++ b/gladewalk/rehearsal/coordinator.py
@@ -1,4 +1,4 @@
-"""A stand-in coordinator: a watch feed whose events are published by the test or rehearsal."""
+"""A stand-in coordinator: a watch feed whose events a test or rehearsal publishes."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 
 @dataclass(slots=True, eq=False)
 class Coordinator:
-    """Serves the events published so far to each follower, and further ones as they are published."""
+    """Sends each follower the events published so far, and later ones as they are published."""
 
     events: list[dict[str, Any]] = field(default_factory=list)
-    followed_from: list[int] = field(default_factory=list)  # the index each follower had, in their order
+    followed_from: list[int] = field(
+        default_factory=list
+    )  # the last index that each follower sent, in order of connection
     address: str = ""
     _writers: list[asyncio.StreamWriter] = field(default_factory=list)
     _server: asyncio.Server | None = None
-    responses_allowed: asyncio.Event | None = None  # where given, followers are answered once it is set
+    responses_allowed: asyncio.Event | None = None  # if given, followers get no data before it is set
 
     async def start(self) -> Coordinator:
-        """Listens on a port of the system's choice; `address` then has it."""
+        """Listens on a port that the system assigns; `address` contains it afterwards."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         return self
@@ -38,7 +40,7 @@
         self.publish(endpoints={"rev": 1, "all": is_complete, "targets": targets})
 
     def send_raw(self, data: bytes) -> None:
-        """Sends any bytes to all followers, whether or not they are lines of the protocol."""
+        """Sends raw bytes to all followers, valid in the protocol or not."""
         for writer in self._writers:
             writer.write(data)
 
@@ -61,5 +63,7 @@
             await self.responses_allowed.wait()
         for event in self.events[last_index:]:
             writer.write(json.dumps(event).encode() + b"\n")
-        writer.write(b"%d\n" % len(self.events))  # the last index, which the platform also sends each second
+        writer.write(
+            b"%d\n" % len(self.events)
+        )  # a heartbeat: the last index, which the platform also sends each second
         self._writers.append(writer)
--- a/gladewalk/rehearsal/director_harness.py
+++ b/gladewalk/rehearsal/director_harness.py
@@ -1,4 +1,4 @@
-"""A director in the test's own process with stand-in servers and a stand-in coordinator."""
+"""Runs a director in the test's process, with stand-in servers and a stand-in coordinator."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class WaitExpiredError(GladewalkError, TimeoutError):
-    """What `wait_until` waits for has not come to hold in time."""
+    """The condition of `wait_until` did not become true in time."""
 
 
 def config_for(
@@ -114,7 +114,7 @@
             server.stop()
 
     def _running(self) -> Director:
-        assert self.director is not None, "the harness is entered by `async with`"
+        assert self.director is not None, "the harness must be entered by `async with`"
         return self.director
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -122,9 +122,9 @@
         return await asyncio.open_connection(*self._running().front.address)
 
     async def fetch(self, path: str = DEFAULT_PATH, **more: Any) -> tuple[int, dict[str, str], bytes]:
-        """Sends one request on a connection of its own and returns status, headers and body.
+        """Sends one request on a new connection and returns status, headers and body.
 
-        `more` goes to `encode_request`.
+        `more` contains further arguments of `encode_request`.
         """
         reader, writer = await self.connect()
         try:
@@ -136,13 +136,13 @@
 
 
 async def wait_until(is_true: Callable[[], bool], max_wait_s: float = 20.0) -> None:
-    """Waits until a condition holds, so that tests need not guess how long a busy machine takes.
+    """Waits until a condition is true, so that tests need no fixed delays that a busy machine could exceed.
 
     Raises:
-        WaitExpiredError: It does not hold after `max_wait_s`.
+        WaitExpiredError: The condition is still false after `max_wait_s`.
     """
     end_s = time.monotonic() + max_wait_s
     while not is_true():
         if time.monotonic() > end_s:
-            raise WaitExpiredError(f"the condition does not hold after {max_wait_s:g} s")
+            raise WaitExpiredError(f"the condition is still false after {max_wait_s:g} s")
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/gladewalk/rehearsal/faulty_disk.py
+++ b/gladewalk/rehearsal/faulty_disk.py
@@ -1,9 +1,9 @@
 """Fault injection for the store: an in-memory disk that loses, tears and rejects writes.
 
-Model: a process that is killed loses nothing that was written. A power loss keeps of each file what was
-synced and any of the later blocks, in no order; of names it keeps those that were synced and any of the later
-creations, renames and removals. After a failed sync the operating system takes the data for clean, so no
-later sync writes it.
+Model: a kill of the process loses no written data. After a power loss, each file has its synced content and
+an arbitrary subset of the blocks written later; the directory has the synced names and an arbitrary subset of
+the later creations, renames and removals. After a failed sync the operating system considers the data clean,
+so no later sync writes it.
 """
 
 from __future__ import annotations
@@ -13,45 +13,47 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-BLOCK_BYTES = 64  # that reach the disk together: few, so that small stores tear in many ways
-LOSS_PROBABILITY = 0.5  # of each unsynced block, file length and name
+BLOCK_BYTES = 64  # bytes written atomically; small, so that small stores are torn in many ways
+LOSS_PROBABILITY = 0.5  # probability that an unsynced block, file length or name is lost
 
-# Takes an operation (as the fault point catalogue names it), its file and the number of the call; returns the
-# errno to fail with, or 0.
+# Takes an operation (by its name in the fault point catalogue), its file and the number of the call; returns
+# the errno to fail with, or 0.
 FaultRule = Callable[[str, str, int], int]
 
 
 @dataclass(slots=True, eq=False)
 class FaultyFile:
-    """A file's content, and what of it outlasts a power loss."""
+    """A file's content, and the durable part, which survives a power loss."""
 
     data: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    is_sync_lost: bool = False  # a sync has failed: what was not durable then never will be
+    is_sync_lost: bool = False  # a sync has failed: no later sync makes the data durable
 
-    def after_power_loss(self, draw: random.Random) -> FaultyFile:
-        """What a restart finds."""
+    def after_power_loss(self, rng: random.Random) -> FaultyFile:
+        """Returns the file that a restart finds after a power loss."""
         kept = bytearray(self.data)
         for start in range(0, len(kept), BLOCK_BYTES):
             end = min(start + BLOCK_BYTES, len(kept))
             durable = self.durable[start:end]
-            if bytes(kept[start:end]) != durable and draw.random() < LOSS_PROBABILITY:
+            if bytes(kept[start:end]) != durable and rng.random() < LOSS_PROBABILITY:
                 kept[start:end] = durable + bytes(end - start - len(durable))
-        if draw.random() < LOSS_PROBABILITY:  # the file's length was not written either, or only in part
+        if (
+            rng.random() < LOSS_PROBABILITY
+        ):  # the file's new length was not written, or only an intermediate one
             min_length = len(self.durable)
-            length = draw.randint(min(min_length, len(kept)), max(min_length, len(kept)))
+            length = rng.randint(min(min_length, len(kept)), max(min_length, len(kept)))
             kept = kept[: max(min_length, length)]
-        kept[: len(self.durable)] = self.durable  # whatever was synced is there, though a later sync failed
+        kept[: len(self.durable)] = self.durable  # synced data is kept even if a later sync failed
         return FaultyFile(bytearray(kept), bytes(kept))
 
 
 def never_fail(operation: str, name: str, number: int) -> int:
-    """The rule of a disk without faults."""
+    """Fault rule of a disk without faults; always returns 0."""
     return 0
 
 
 class FaultyDisk:
-    """A `FileSystem` in memory; `fault_rule` is asked before each call."""
+    """An in-memory `FileSystem`; `fault_rule` is called before each operation."""
 
     def __init__(self) -> None:
         self.files: dict[str, FaultyFile] = {}
@@ -68,21 +70,21 @@
             raise OSError(code, errno.errorcode[code])
 
     def list_names(self) -> list[str]:
-        """The files' names in ascending order."""
+        """Returns the files' names in ascending order."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """A file's content."""
+        """Returns a file's content."""
         self._call("read", name)
         return bytes(self.files[name].data)
 
     def create(self, name: str) -> None:
-        """Creates an empty file in place of any other of this name."""
+        """Creates an empty file; replaces an existing file with this name."""
         self._call("create", name)
         self.files[name] = FaultyFile()
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file; a call that fails has written half of the data."""
+        """Appends to a file; a call that fails writes half of the data first."""
         try:
             self._call("append", name)
         except OSError:
@@ -99,7 +101,7 @@
             file.durable = bytes(file.data)
 
     def truncate(self, name: str, size_bytes: int) -> None:
-        """Cuts a file to a size."""
+        """Truncates a file to a size."""
         self._call("cut", name)
         del self.files[name].data[size_bytes:]
 
@@ -109,7 +111,7 @@
         self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
         self._call("remove", name)
         self.files.pop(name, None)
 
@@ -119,7 +121,7 @@
         self.durable_names = dict(self.files)
 
     def after_kill(self) -> FaultyDisk:
-        """The disk that a restarted process finds: nothing is lost."""
+        """Returns the disk that a restarted process finds after a kill: no data is lost."""
         disk = FaultyDisk()
         disk.files = {
             name: FaultyFile(bytearray(file.data), file.durable, file.is_sync_lost)
@@ -133,17 +135,17 @@
         return disk
 
     def after_power_loss(self, seed: int) -> FaultyDisk:
-        """The disk that a restarted machine finds; `seed` draws what is lost."""
-        draw = random.Random(seed)
+        """Returns the disk that a restarted machine finds after a power loss; `seed` draws the losses."""
+        rng = random.Random(seed)
         names = dict(self.durable_names)
         for name in sorted(set(self.files) | set(self.durable_names)):
             is_durable = self.files.get(name) is self.durable_names.get(name)
-            if not is_durable and draw.random() < LOSS_PROBABILITY:
+            if not is_durable and rng.random() < LOSS_PROBABILITY:
                 if name in self.files:
                     names[name] = self.files[name]
                 else:
                     del names[name]
         disk = FaultyDisk()
-        disk.files = {name: file.after_power_loss(draw) for name, file in names.items()}
+        disk.files = {name: file.after_power_loss(rng) for name, file in names.items()}
         disk.durable_names = dict(disk.files)
         return disk
--- a/gladewalk/rehearsal/http2_fault_script.py
+++ b/gladewalk/rehearsal/http2_fault_script.py
@@ -1,4 +1,4 @@
-"""A script for `ScriptedHttp2Server` that breaks requests and connections at random, by a seed."""
+"""A script for `ScriptedHttp2Server` that breaks requests and connections at random, from a seed."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from .scripted_http2_server import GRACEFUL_LAST_STREAM_ID, Http2Request
 
-DELAYED_ANSWER_RATE = 0.5
-MAX_BYTES_UNTIL_ABORT = 120
+IMMEDIATE_RESPONSE_RATE = 0.5  # fraction of responses that are sent without delay
+MAX_BYTES_UNTIL_ABORT = 120  # bytes that are still read before a connection is aborted
 LOWERED_STREAM_LIMITS = (0, 1, 2, 5)
 SHRUNK_WINDOWS = (0, 1, 100)  # bytes
 DEFAULT_WINDOW = 65_535  # bytes (RFC 9113, section 6.5.2)
 
 
 class Http2FaultScript:
-    """Meets a fraction of the requests with a fault, always within the protocol.
+    """Injects a fault into a fraction of the requests; every fault conforms to the protocol.
 
-    The other requests are answered, some after a while. A GOAWAY names the highest stream that was processed
-    or may yet be; a refused stream is never processed.
+    The other requests get a response, some after a delay. A GOAWAY names the highest stream that was or may
+    yet be processed; a refused stream is never processed.
 
     Args:
-        seed: Of all draws.
-        fault_rate: The fraction of requests that meet a fault.
-        body: Of the answers.
-        max_delay_s: The longest delay of what is done later.
+        seed: Seed of all draws.
+        fault_rate: The fraction of requests that get a fault.
+        body: The body of responses.
+        max_delay_s: The longest delay of delayed responses and actions.
     """
 
     def __init__(
@@ -36,8 +36,8 @@
         self._rng = random.Random(seed)
         self._fault_rate, self._body, self._max_delay_s = fault_rate, body, max_delay_s
         self.fault_counts: dict[str, int] = {}
-        self.shed_tickets: list[str] = []  # of requests answered 503 with X-Shed
-        # The names are those that figures and recorded counts use.
+        self.shed_tickets: list[str] = []  # tickets of requests rejected with 503 and X-Shed
+        # Reports and recorded counts use these names.
         self._faults: tuple[tuple[str, Callable[[Http2Request], None]], ...] = (
             ("drop_before", self._abort_unprocessed),
             ("cut_within", self._abort_within_request),
@@ -55,25 +55,27 @@
         )
 
     def __call__(self, request: Http2Request) -> None:
-        """Answers a request, or meets it with a fault."""
+        """Responds to a request, or injects a fault."""
         connection = request.connection
         if connection.is_going_away and request.stream_id > connection.last_processed_id:
-            return  # beyond the GOAWAY: it is never looked at
+            return  # above the stream id of the GOAWAY: the request is ignored
         if self._rng.random() >= self._fault_rate:
-            self._answer(request)
+            self._respond(request)
             return
         name, fault = self._rng.choice(self._faults)
         self.fault_counts[name] = self.fault_counts.get(name, 0) + 1
         fault(request)
 
-    def _answer(self, request: Http2Request) -> None:
-        if self._rng.random() < DELAYED_ANSWER_RATE:
+    def _respond(self, request: Http2Request) -> None:
+        if self._rng.random() < IMMEDIATE_RESPONSE_RATE:
             request.respond(200, self._body)
             return
-        request.connection.note_processing(request.stream_id)  # it may be processed, and a GOAWAY says so
-        self._later(lambda: self._answer_if_open(request))
+        request.connection.note_processing(
+            request.stream_id
+        )  # a GOAWAY sent before the response must cover this stream
+        self._later(lambda: self._respond_if_open(request))
 
-    def _answer_if_open(self, request: Http2Request) -> None:
+    def _respond_if_open(self, request: Http2Request) -> None:
         if not request.is_closed and not request.connection.is_closed:
             request.respond(200, self._body)
 
@@ -85,9 +87,11 @@
 
     def _abort_within_request(self, request: Http2Request) -> None:
         byte_count = self._rng.randrange(1, MAX_BYTES_UNTIL_ABORT)
-        if request.connection.bytes_until_abort is None:  # else bytes are missing: what follows is noise
+        if (
+            request.connection.bytes_until_abort is None
+        ):  # an earlier limit stays: bytes after it are not read
             request.connection.bytes_until_abort = byte_count
-        self._answer(request)
+        self._respond(request)
 
     def _abort_processed(self, request: Http2Request) -> None:
         request.process()
@@ -107,7 +111,7 @@
         request.respond(503, may_process=False, x_shed="1")
 
     def _go_away_unprocessed(self, request: Http2Request) -> None:
-        """This stream and all above it were never looked at; those below go on."""
+        """Ignores this stream and all streams above it; streams below continue."""
         request.connection.send_goaway(request.connection.last_processed_id)
         request.connection.is_going_away = True
 
@@ -121,7 +125,7 @@
     def _shut_down_gracefully(self, request: Http2Request) -> None:
         connection = request.connection
         connection.send_goaway(GRACEFUL_LAST_STREAM_ID)
-        self._answer(request)
+        self._respond(request)
 
         def send_final_goaway() -> None:
             if not connection.is_going_away:
@@ -133,15 +137,15 @@
     def _lower_stream_limit(self, request: Http2Request) -> None:
         connection = request.connection
         connection.update_settings(max_concurrent_streams=self._rng.choice(LOWERED_STREAM_LIMITS))
-        usual = connection.server.max_concurrent_streams
-        self._later(lambda: connection.update_settings(max_concurrent_streams=usual))
-        self._answer(request)
+        configured_limit = connection.server.max_concurrent_streams
+        self._later(lambda: connection.update_settings(max_concurrent_streams=configured_limit))
+        self._respond(request)
 
     def _shrink_windows(self, request: Http2Request) -> None:
         connection = request.connection
         connection.update_settings(initial_window_size=self._rng.choice(SHRUNK_WINDOWS))
         self._later(lambda: connection.update_settings(initial_window_size=DEFAULT_WINDOW))
-        self._answer(request)
+        self._respond(request)
 
     def _cancel_unprocessed(self, request: Http2Request) -> None:
         request.reset(ErrorCodes.CANCEL)
--- a/gladewalk/rehearsal/http_messages.py
+++ b/gladewalk/rehearsal/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages of the stand-in servers and clients: read from a stream, and encoded."""
+"""Reads and encodes the HTTP/1.1 messages of stand-in servers and clients."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def parse_status(status_line: str) -> int:
-    """Returns the status code out of a response's first line."""
+    """Returns the status code from a response's status line."""
     return int(status_line.split(" ")[1])
 
 
@@ -32,7 +32,7 @@
     """Reads the start line and the headers of a message.
 
     Raises:
-        asyncio.IncompleteReadError: The connection ended before them.
+        asyncio.IncompleteReadError: The connection ended before the end of the headers.
     """
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = (line.partition(":") for line in lines[1:-2])
@@ -40,7 +40,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Http1Message:
-    """Reads a message whose length is in `Content-Length`; without that field its body is empty.
+    """Reads a message; without `Content-Length` its body is empty.
 
     Raises:
         asyncio.IncompleteReadError: The connection ended within the message.
@@ -51,12 +51,12 @@
 
 
 def header_names(keywords: Mapping[str, str]) -> dict[str, str]:
-    """Turns keyword arguments into headers: `X_Remark` becomes `X-Remark`."""
+    """Converts keyword arguments to headers: `X_Remark` becomes `X-Remark`."""
     return {name.replace("_", "-"): value for name, value in keywords.items()}
 
 
 def encode_message(start_line: str, headers: Mapping[str, object], body: bytes = b"") -> bytes:
-    """Encodes a message with these headers alone; a `Content-Length` must be among them."""
+    """Encodes a message with these headers only; `Content-Length` is not added."""
     lines = [start_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
@@ -67,10 +67,10 @@
     """Encodes a client's request to a director.
 
     Args:
-        path: The target, as `/invoke/CLASS/OBJECT?nth=PART`.
+        path: The target, for example `/invoke/CLASS/OBJECT?nth=PART`.
         method: The method.
         wait_ms: How long the client waits (`Max-Wait-Ms`).
-        body: The content; its length is added.
+        body: The content; if there is any, `Content-Length` is added.
         **fields: Further headers (see `header_names`); `trace` is the trace id.
     """
     trace_id = fields.pop("trace", DEFAULT_TRACE_ID)
--- a/gladewalk/rehearsal/lease_beliefs.py
+++ b/gladewalk/rehearsal/lease_beliefs.py
@@ -1,4 +1,4 @@
-"""When simulated directors believe that they hold a lease, in real time, and whether two did at once."""
+"""Records in real time when simulated directors believe that they hold a lease, and finds overlaps."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class HoldingBelief:
-    """The real time in which one director believed that it held a task under one token."""
+    """The period of real time in which a director believed that it held a task's lease under one token."""
 
     task: str
     director: str
@@ -17,27 +17,27 @@
 
 
 class BeliefLog:
-    """When each director believed that it held, by task and token."""
+    """The periods in which directors believed that they held a lease, by task and token."""
 
     def __init__(self) -> None:
         self._beliefs: dict[tuple[str, int], HoldingBelief] = {}
 
-    def note(self, director: str, task: str, token: int, now_ms: float, until_ms: float) -> None:
-        """Notes that a director holds now and, unless something happens, until `until_ms`."""
+    def record(self, director: str, task: str, token: int, now_ms: float, until_ms: float) -> None:
+        """Records that a director believes it holds a lease until `until_ms`, unless ended earlier."""
         belief = self._beliefs.setdefault((task, token), HoldingBelief(task, director, now_ms, until_ms))
         belief.last_ms = max(belief.last_ms, until_ms)
         belief.director = director
 
     def end(self, director: str, now_ms: float) -> None:
-        """Ends a director's beliefs now: it is paused, killed, or stepped down, and cannot operate."""
+        """Ends a director's periods now, as it cannot operate: it was paused, killed or has stepped down."""
         for belief in self._beliefs.values():
             if belief.director == director:
                 belief.last_ms = min(belief.last_ms, max(now_ms, belief.first_ms))
 
     def count_overlaps(self) -> int:
-        """Counts pairs of beliefs of two directors in one task that cross.
+        """Counts pairs of overlapping periods of two directors for the same task.
 
-        A holder that raised its own term rightly holds under both tokens at once.
+        Periods of one director may overlap: after raising its own term, it holds under both tokens.
         """
         return sum(
             one.task == other.task
--- a/gladewalk/rehearsal/lease_faults.py
+++ b/gladewalk/rehearsal/lease_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the lease simulation, and seeded schedules of them."""
+"""The faults of the lease simulation and the generation of fault schedules from a seed."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SCHEDULE_SEED_MASK = 0x5EED
-FIRST_FAULT_MS = 1_500.0  # by then each lease is held
-QUIET_END_MS = 4_000.0  # no fault begins so late, so that each is over before the run's last seconds
+SCHEDULE_SEED_MASK = (
+    0x5EED  # keeps the draws of schedules apart from those of a simulation with the same seed
+)
+FIRST_FAULT_MS = 1_500.0  # by then each lease has a holder
+QUIET_END_MS = 4_000.0  # no fault begins within this time of the run's end, so that each ends before the end
 FAULT_DURATION_MS = (200.0, 2_500.0)
 FAULT_AMOUNT = (0.05, 0.4)
 
 
 class FaultKind(Enum):
-    """What may happen to directors and the network."""
+    """The faults of directors, the network and clocks."""
 
     PAUSE = "pause"
     KILL = "kill"
     TORN_GRANT = "torn"  # killed between a save and its grant
     CLEAN_STOP = "stop"
-    CUT_OUTBOUND = "cut_out"  # it receives everything and nobody receives from it
-    CUT_INBOUND = "cut_in"
+    CUT_OUTBOUND = "cut_out"  # the director receives messages, but those that it sends are lost
+    CUT_INBOUND = "cut_in"  # the reverse: it receives nothing
     PARTITION = "partition"
     LOSS = "loss"
     DUPLICATION = "double"
     LATE_OPERATIONS = "late_acts"
-    CLOCK_RATE = "clock"  # fast or slow by the whole drift bound from then on, without a jump
+    CLOCK_RATE = "clock"  # the clock runs fast or slow by the whole drift bound from then on, without a jump
 
 
 PROCESS_FAULTS = (FaultKind.PAUSE, FaultKind.KILL, FaultKind.TORN_GRANT, FaultKind.CLEAN_STOP)
@@ -48,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One line of a schedule: `kind` on `directors` (or on one side of a partition) for `duration_ms`."""
+    """A fault of a schedule: affects `directors` (one side of a partition) for `duration_ms`."""
 
     at_ms: float
     duration_ms: float
@@ -64,7 +66,7 @@
     fault_count: int,
     kinds: tuple[FaultKind, ...] = SCHEDULED_KINDS,
 ) -> list[Fault]:
-    """Draws a list of faults, each over before the run's last two seconds."""
+    """Generates faults in order of time; each begins at least `QUIET_END_MS` before the run's end."""
     rng = random.Random(seed ^ SCHEDULE_SEED_MASK)
     faults = []
     for _ in range(fault_count):
--- a/gladewalk/rehearsal/lease_simulation.py
+++ b/gladewalk/rehearsal/lease_simulation.py
@@ -1,13 +1,14 @@
-"""Leases in virtual time: directors with clocks of their own, a faulty network and a fenced resource.
+"""Simulates leases in virtual time: directors with separate clocks, a faulty network and a fenced resource.
 
-The network loses, duplicates, delays and cuts one way; directors pause, crash and restart. Everything is
-drawn from one seed. Each director runs the real `Voter` and `LeaseCandidate`, and operates under each lease
-that it holds every `OPERATION_INTERVAL_MS`. An operation that was decided just before a pause is sent after
-it, as by a process that was stopped between its check and its write; operations travel to the resource with
-delays of their own, so that late ones arrive after newer ones.
+The network loses, duplicates and delays messages and cuts single directions; directors pause, crash and
+restart. All random draws come from one seed. Each director runs the real `Voter` and `LeaseCandidate`, and
+performs an operation every `OPERATION_INTERVAL_MS` under each lease that it holds. An operation that was
+decided just before a pause is sent after the pause, as by a process that was stopped between its check and
+its write. Each operation has its own delay to the resource, so that an older one can arrive after newer ones.
 
-Besides the operations, the simulation knows in real time until when each holder believes that it holds, up
-to its pause or death: two such spans of one task that cross are an overlap, however seldom holders operate.
+Besides the operations, the simulation records in real time the period in which each holder believes that it
+holds a lease, up to its pause or crash. Two such periods of one task that intersect count as an overlap, even
+if no operation falls into the intersection.
 """
 
 from __future__ import annotations
@@ -31,28 +32,30 @@
 
 TASKS = ("purge", "report")
 OPERATION_INTERVAL_MS = 50.0
-MIN_TICK_MS = 0.1
-NETWORK_DELAY_MS = (0.2, 5.0)
-OPERATION_DELAY_MS = (0.2, 3.0)
-LATE_OPERATION_DELAY_MS = (100.0, 2_000.0)
+MIN_TICK_MS = 0.1  # least time between two timers of a director
+NETWORK_DELAY_MS = (0.2, 5.0)  # range of a message's delay
+OPERATION_DELAY_MS = (0.2, 3.0)  # range of an operation's delay to the resource
+LATE_OPERATION_DELAY_MS = (100.0, 2_000.0)  # added by the fault `LATE_OPERATIONS`
 MAX_CLOCK_OFFSET_MS = 1e6
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedDirector:
-    """One director: its state machines, clock and disk, and whether it runs."""
+    """A director: its state machines, clock, disk and process state."""
 
     name: str
-    clock_rate: float  # to real time
+    clock_rate: float  # relative to real time
     clock_offset_ms: float
     voter: Voter
     candidate: LeaseCandidate
     disk: dict[str, GrantRecord] = field(default_factory=dict)  # durable grants by task
     is_up: bool = True
     paused_until_ms: float = 0.0
-    timer_epoch: int = 0  # a timer of an older epoch, from before a pause, is void
+    timer_epoch: int = 0  # timers of an earlier epoch, set before a pause, are ignored
     undelivered: list[bytes] = field(default_factory=list)  # received while paused
-    torn_grant_ms: float = 0.0  # if set: killed at its next save, and down for so long
+    torn_grant_ms: float = (
+        0.0  # if not 0: the director is killed at its next save and restarted after this time
+    )
 
     def clock(self, real_ms: float) -> float:
         """Returns the time on this director's clock."""
@@ -60,7 +63,7 @@
 
 
 class LeaseSimulation:
-    """Directors d0 to d(n-1), all of them voters and candidates; real time starts at 0."""
+    """Directors d0 to d(n-1), each both voter and candidate; real time starts at 0."""
 
     def __init__(
         self,
@@ -77,11 +80,11 @@
         self.names = tuple(f"d{number}" for number in range(director_count))
         self.clock_drift = clock_drift
         self.loss_probability = self.duplication_probability = self.late_operation_probability = 0.0
-        self.cut_paths: set[tuple[str, str]] = set()  # from, to
+        self.cut_paths: set[tuple[str, str]] = set()  # (source, target)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._queued_count = 0
         self.directors = {name: self._boot(name, {}) for name in self.names}
-        self.excused: list[TimeSpan] = []  # in which no director can hold
+        self.excused: list[TimeSpan] = []  # periods in which no director can hold a lease
         self.beliefs = BeliefLog()
 
     def _boot(self, name: str, disk: dict[str, GrantRecord]) -> SimulatedDirector:
@@ -94,12 +97,12 @@
         return SimulatedDirector(name, rate, offset_ms, voter, candidate, disk)
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Runs an action after so much virtual time."""
+        """Runs an action after a delay in virtual time."""
         self._queued_count += 1
         heapq.heappush(self._queue, (self.now_ms + delay_ms, self._queued_count, action))
 
     def run_until(self, end_ms: float) -> None:
-        """Lets virtual time pass."""
+        """Advances virtual time to `end_ms` and runs all actions due until then."""
         while self._queue and self._queue[0][0] <= end_ms:
             self.now_ms, _, action = heapq.heappop(self._queue)
             action()
@@ -111,11 +114,11 @@
             self.after(fault.at_ms, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     def verdict(self) -> Verdict:
-        """Judges the resource's record up to now, and counts overlapping beliefs as overlaps."""
+        """Checks the resource's record up to now; overlapping beliefs count as overlaps too."""
         verdict = check(self.fence.records, self.now_ms, self.excused)
         return dataclasses.replace(verdict, overlaps=verdict.overlaps + self.beliefs.count_overlaps())
 
-    # A director's loop.
+    # The event loop of a director.
 
     def start(self) -> None:
         """Starts every director."""
@@ -130,19 +133,19 @@
         for task in TASKS:
             token = director.candidate.token(task, local_ms)
             if token is not None:
-                self._note_belief(director, task, token)
+                self._record_belief(director, task, token)
                 self.operate(director, task, token, self.now_ms)
         due_ms = min(director.candidate.next_due_ms(), local_ms + OPERATION_INTERVAL_MS)
         wait_ms = max((due_ms - local_ms) / director.clock_rate, MIN_TICK_MS)
         self.after(wait_ms, lambda: self._wake(director, timer_epoch))
 
-    def _note_belief(self, director: SimulatedDirector, task: str, token: int) -> None:
+    def _record_belief(self, director: SimulatedDirector, task: str, token: int) -> None:
         expires_at_ms = director.candidate.leases[task].expires_at_ms
         until_ms = (expires_at_ms - director.clock_offset_ms) / director.clock_rate
-        self.beliefs.note(director.name, task, token, self.now_ms, until_ms)
+        self.beliefs.record(director.name, task, token, self.now_ms, until_ms)
 
     def operate(self, director: SimulatedDirector, task: str, token: int, performed_at_ms: float) -> None:
-        """Sends an operation on its way to the fenced resource."""
+        """Sends an operation to the fenced resource."""
         delay_ms = self.random.uniform(*OPERATION_DELAY_MS)
         if self.random.random() < self.late_operation_probability:
             delay_ms += self.random.uniform(*LATE_OPERATION_DELAY_MS)
@@ -153,11 +156,11 @@
         self.after(delay_ms, arrive)
 
     def carry_out(self, director: SimulatedDirector, outputs: Sequence[Output]) -> None:
-        """Does what a director's state machines ask for."""
+        """Carries out the outputs of a director's state machines."""
         for output in outputs:
             if isinstance(output, Save):
                 self.save_grant(director, output)
-                if director.torn_grant_ms:  # the save stands, no grant is sent
+                if director.torn_grant_ms:  # the save is durable, but its grant is not sent
                     self.kill(director.name, director.torn_grant_ms)
                     return
                 self.carry_out(director, output.on_durable)
@@ -179,7 +182,7 @@
             self.after(self.random.uniform(*NETWORK_DELAY_MS), lambda: self.deliver(target, payload))
 
     def deliver(self, target: str, payload: bytes) -> None:
-        """Delivers a datagram, after the pause if the director is paused."""
+        """Delivers a datagram; a paused director gets it after the pause."""
         director = self.directors[target]
         if not director.is_up:
             return
@@ -196,7 +199,7 @@
     # Faults.
 
     def pause(self, name: str, duration_ms: float) -> None:
-        """Stops a director for a while; what it had decided before is sent afterwards."""
+        """Pauses a director; operations decided before the pause are sent after it."""
         director = self.directors[name]
         local_ms = director.clock(self.now_ms)
         tokens = {task: director.candidate.token(task, local_ms) for task in TASKS}
@@ -208,7 +211,7 @@
         def resume() -> None:
             if not director.is_up:
                 return
-            for task, token in tokens.items():  # written after the pause, with what was read before it
+            for task, token in tokens.items():  # sent after the pause with the token from before it
                 if token is not None:
                     self.operate(director, task, token, performed_at_ms)
             undelivered, director.undelivered = director.undelivered, []
@@ -219,9 +222,9 @@
         self.after(duration_ms, resume)
 
     def kill(self, name: str, duration_ms: float) -> None:
-        """Kills a director, and starts it again under its name with what its disk has."""
+        """Kills a director, and restarts it with the same name and disk after `duration_ms`."""
         killed = self.directors[name]
-        if not killed.is_up:  # down already, and its start to come: one process to a name
+        if not killed.is_up:  # already down, with a restart scheduled; a name has one process
             return
         killed.is_up = False
         self.beliefs.end(name, self.now_ms)
@@ -234,14 +237,14 @@
         self.after(duration_ms, restart)
 
     def stop_cleanly(self, name: str, duration_ms: float) -> None:
-        """Stops a director after it has stepped down from everything."""
+        """Lets a director step down from all leases, then stops it and restarts it after `duration_ms`."""
         director = self.directors[name]
         if director.is_up:
             self._step_down(director)
             self.kill(name, duration_ms)
 
     def release_all_leases(self) -> None:
-        """Lets whoever holds a lease give it up to anybody."""
+        """Lets every running director step down from all its leases, without a named successor."""
         for director in self.directors.values():
             if director.is_up and self.now_ms >= director.paused_until_ms:
                 self._step_down(director)
@@ -253,7 +256,7 @@
 
     def _tear_grant(self, name: str, duration_ms: float) -> None:
         self.directors[name].torn_grant_ms = duration_ms
-        self.release_all_leases()  # only a new term is saved
+        self.release_all_leases()  # a save happens only in a new term, so an election is forced
 
     def _set_clock_rate(self, fault: Fault) -> None:
         director = self.directors[fault.directors[0]]
@@ -289,7 +292,7 @@
         self.after(fault.duration_ms, lambda: setattr(self, attribute, 0.0))
 
     def apply(self, fault: Fault) -> None:
-        """Causes a fault now; process faults hit each of their directors."""
+        """Applies a fault now; a process fault affects each of its directors."""
         process_faults = {
             FaultKind.PAUSE: self.pause,
             FaultKind.KILL: self.kill,
@@ -310,10 +313,10 @@
             self.excused.append((fault.at_ms, end_ms))
 
     def _leaves_no_majority(self, fault: Fault) -> bool:
-        hit, total = len(fault.directors), len(self.names)
+        affected, total = len(fault.directors), len(self.names)
         if fault.kind in PROCESS_FAULTS:
-            return total - hit < majority(total)
-        return fault.kind is FaultKind.PARTITION and max(hit, total - hit) < majority(total)
+            return total - affected < majority(total)
+        return fault.kind is FaultKind.PARTITION and max(affected, total - affected) < majority(total)
 
 
 def run_schedule(
@@ -326,7 +329,7 @@
     clock_drift: float = 0.01,
     kinds: tuple[FaultKind, ...] = SCHEDULED_KINDS,
 ) -> Verdict:
-    """Plays one seeded schedule and returns its verdict."""
+    """Runs a schedule generated from the seed and returns its verdict."""
     simulation = LeaseSimulation(seed, director_count, config, fence, clock_drift)
     simulation.schedule(generate_schedule(seed, simulation.names, length_ms, fault_count, kinds))
     simulation.start()
@@ -337,26 +340,26 @@
 def run_with_skewed_clocks(
     seed: int, director_count: int = 3, config: LeaseConfig | None = None, clock_drift: float = 0.02
 ) -> Verdict:
-    """Plays the case that the margins are for.
+    """Runs the worst case that the safety margins of leases are for, and returns its verdict.
 
-    The holder's clock is slow by the whole bound, every other fast by it, and the holder is cut off one way,
-    so that it hears the voters and they do not hear it.
+    The holder's clock is slow by the whole drift bound and all other clocks are fast by it. The holder's
+    outbound messages are lost: it receives the voters' messages, but they receive none from it.
     """
     simulation = LeaseSimulation(seed, director_count, config, clock_drift=clock_drift)
     simulation.start()
     simulation.run_until(2_500.0)
-    held_by = [
+    holders = [
         name
         for name, director in simulation.directors.items()
         if director.candidate.token(TASKS[0], director.clock(simulation.now_ms))
     ]
-    victim = held_by[0] if held_by else simulation.names[0]
+    holder = holders[0] if holders else simulation.names[0]
     for name in simulation.names:
-        amount = 0.0 if name == victim else 1.0
+        amount = 0.0 if name == holder else 1.0
         simulation.apply(Fault(simulation.now_ms, 0.0, FaultKind.CLOCK_RATE, (name,), amount))
 
     def cut_off() -> None:
-        simulation.apply(Fault(simulation.now_ms, 3_000.0, FaultKind.CUT_OUTBOUND, (victim,)))
+        simulation.apply(Fault(simulation.now_ms, 3_000.0, FaultKind.CUT_OUTBOUND, (holder,)))
 
     simulation.after(200.0, cut_off)
     simulation.run_until(7_000.0)
--- a/gladewalk/rehearsal/member_faults.py
+++ b/gladewalk/rehearsal/member_faults.py
@@ -1,4 +1,4 @@
-"""Plays schedules of faults to a simulated network of members, as `faultnet.nemesis` does to processes."""
+"""Injects fault schedules into a simulated network of members, as `faultnet.nemesis` does for processes."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from ..faultnet.schedule import Fault, FaultKind, Pair, affected_pairs
 from .member_network import MemberNetwork
 
-END_MS = 1.0  # after the last fault, so that its end has been played
+END_MS = 1.0  # time that a run goes on after the last fault, so that the fault has been ended
 
 
-class FaultPlayer:
-    """Begins and ends faults in a network. Cuts that overlap end each by itself.
+class MemberFaultInjector:
+    """Begins and ends faults in a network. Overlapping cuts end independently.
 
-    Loss, duplication and delay hold for all paths, the latest in force.
+    Loss, duplication and delay apply to all paths; the latest such fault replaces an earlier one.
     """
 
     def __init__(self, network: MemberNetwork) -> None:
         self._network, self._names = network, tuple(network.nodes)
-        self._usual_delay_range_ms = network.delay_range_ms
+        self._default_delay_range_ms = network.delay_range_ms
         self._cuts: Counter[Pair] = Counter()
         network.is_blocked = lambda source, target: self._cuts[source, target] > 0
 
@@ -63,7 +63,7 @@
         self._network.duplicate_rate = 0.0
 
     def _end_delay(self) -> None:
-        self._network.delay_range_ms = self._usual_delay_range_ms
+        self._network.delay_range_ms = self._default_delay_range_ms
 
     def _cut(self, fault: Fault, by: int) -> None:
         for pair in affected_pairs(fault, self._names):
@@ -77,11 +77,11 @@
 
 
 def run_schedule(network: MemberNetwork, faults: list[Fault]) -> None:
-    """Plays a schedule from now, until its last fault is over."""
-    player = FaultPlayer(network)
+    """Runs a schedule from now until its last fault has ended."""
+    injector = MemberFaultInjector(network)
 
     def schedule(fault: Fault) -> None:
-        network.schedule(fault.at_ms, lambda: player.begin(fault))
+        network.schedule(fault.at_ms, lambda: injector.begin(fault))
 
     for fault in faults:
         schedule(fault)
--- a/gladewalk/rehearsal/member_network.py
+++ b/gladewalk/rehearsal/member_network.py
@@ -1,7 +1,7 @@
-"""Simulated network of members in virtual time: loss, delay, duplication, partitions, pauses and restarts.
+"""Simulates a network of members in virtual time: loss, delay, duplication, partitions, pauses, restarts.
 
-Everything is drawn from one seed: two runs of a seed are the same, event by event. Members run the real
-`Membership`, their messages the real encoding and authentication. Time is in ms.
+All random draws come from one seed, so two runs with the same seed have the same events. Members run the real
+`Membership` and use the real encoding and authentication of messages. Times are in ms.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from ..members.swim import Membership
 
 START_MS = 1_764_576_000_000.0  # Unix time at which a simulation starts
-STREAM_TIMEOUT_MS = 2_000.0  # a synchronization over a path that passes nothing
-REFUSED_MS = 1.0  # a connection that nobody accepts
-SYNC_DELAYS = 3  # one-way delays of a synchronization
-PROBE_DELAYS = 4  # of a confirmation probe that is answered
-REFUSED_PROBE_DELAYS = 2
+STREAM_TIMEOUT_MS = 2_000.0  # after this a synchronization over a blocked path fails
+REFUSED_MS = 1.0  # after this a connection to a stopped process is refused
+SYNC_DELAYS = 3  # duration of a synchronization, in one-way delays
+PROBE_DELAYS = 4  # duration of a confirmation probe with a response, in one-way delays
+REFUSED_PROBE_DELAYS = 2  # duration of a refused one
 MIN_TIMER_MS = 0.05
-MAX_TIMER_MS = 1e9  # a later timer is none: the member is not active
-CLOCK_WINDOW_MS = 30_000.0
+MAX_TIMER_MS = 1e9  # no timer is set for a longer wait: the member is not active
+CLOCK_WINDOW_MS = 30_000.0  # greatest clock difference at which messages are accepted
 NONCE_BITS = 64
 FIRST_PORT = 1_000
 KEY = key_from_secret(b"a key of the rehearsal's own, 32 bytes or more")
@@ -54,25 +54,25 @@
 
 @dataclass(slots=True, eq=False)
 class MemberNode:
-    """One member's process: running, paused or down, its clock off by `clock_offset_ms`."""
+    """A member's process (running, paused or down) with a clock that is off by `clock_offset_ms`."""
 
     name: str
     address: Address
     core: Membership
     authenticator: MessageAuthenticator
     is_up: bool = True
-    paused_until_ms: float = 0.0  # until then datagrams wait in its socket
+    paused_until_ms: float = 0.0  # datagrams that arrive before are buffered in `pending`
     clock_offset_ms: float = 0.0
     pending: list[tuple[bytes, Address]] = field(default_factory=list)
-    timer_number: int = 0  # of the timer that counts: earlier ones are void
+    timer_number: int = 0  # number of the current timer; timers with earlier numbers are ignored
 
 
 class MemberNetwork:
     """Nodes and the paths between them.
 
-    To be set at any time: `loss_rate` and `duplicate_rate` of datagrams, `delay_range_ms` of one way,
-    `max_timer_delay_ms` of a busy host, `is_blocked(source, target)`, and `unreachable_machines`: the names
-    of nodes in whose place no system answers.
+    These attributes may be set at any time: `loss_rate` and `duplicate_rate` of datagrams, `delay_range_ms`
+    in one direction, `max_timer_delay_ms` of a busy host, `is_blocked(source, target)`, and
+    `unreachable_machines`: the names of nodes whose operating system does not respond either.
     """
 
     def __init__(self, seed: int, config: MembershipConfig | None = None) -> None:
@@ -88,10 +88,10 @@
         self.on_event: Callable[[MemberNode, UserEvent], None] | None = None
         self.on_change: Callable[[MemberNode, MemberChange, str], None] | None = None
         self.observed: list[ObservedChange] = []
-        self.sent_bytes: Counter[str] = Counter()  # by node, like the next
-        self.sent_datagrams: Counter[str] = Counter()
+        self.sent_bytes: Counter[str] = Counter()  # by node
+        self.sent_datagrams: Counter[str] = Counter()  # by node
         self.dropped: Counter[DropReason] = Counter()
-        self.syncs: Counter[str] = Counter()  # by how they ended: same, whole, failed
+        self.syncs: Counter[str] = Counter()  # by result: same, whole, failed
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._queued_count = 0
         self._by_address: dict[Address, MemberNode] = {}
@@ -99,12 +99,12 @@
     # Time.
 
     def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Calls a function once so much virtual time has passed."""
+        """Calls a function after `delay_ms` of virtual time."""
         self._queued_count += 1
         heapq.heappush(self._queue, (self.now_ms + delay_ms, self._queued_count, call))
 
     def run(self, duration_ms: float) -> None:
-        """Lets so much virtual time pass."""
+        """Advances virtual time by `duration_ms` and runs all calls due until then."""
         end_ms = self.now_ms + duration_ms
         while self._queue and self._queue[0][0] <= end_ms:
             self.now_ms, _, call = heapq.heappop(self._queue)
@@ -112,13 +112,13 @@
         self.now_ms = end_ms
 
     def clock_of(self, node: MemberNode) -> float:
-        """Time by a node's own clock."""
+        """Returns the time on a node's clock."""
         return self.now_ms + node.clock_offset_ms
 
     # Nodes.
 
     def node_at(self, address: Address) -> MemberNode | None:
-        """The node that was started last at an address."""
+        """Returns the node that was started last at an address."""
         return self._by_address.get(address)
 
     def start(
@@ -129,10 +129,10 @@
         port: int = 0,
         clock_offset_ms: float = 0.0,
     ) -> MemberNode:
-        """Starts a node, or starts it again under its name, knowing no more than its seeds."""
+        """Starts a node, or restarts it under its name; it knows only its seeds."""
         old = self.nodes.get(name)
         if old is not None:
-            old.is_up = False  # its address is free again: no two processes have one
+            old.is_up = False  # frees the address, which only one process may use
             others = (other for other in self.nodes if other != name)
             self.observed += [ObservedChange(self.now_ms, name, MemberChange.LEFT, other) for other in others]
         address = old.address if old is not None else ("10.0.0.1", port or FIRST_PORT + len(self.nodes))
@@ -147,7 +147,7 @@
         return node
 
     def kill(self, name: str) -> None:
-        """Ends a node's process without a word (SIGKILL)."""
+        """Kills a node's process (SIGKILL), without notice to other members."""
         self.nodes[name].is_up = False
 
     def pause(self, name: str, duration_ms: float) -> None:
@@ -159,17 +159,17 @@
     def _resume(self, node: MemberNode) -> None:
         pending, node.pending = node.pending, []
         if node.is_up:
-            self.run_timer(node)  # a loop that comes back runs its timers before it reads
+            self.run_timer(node)  # a resumed event loop runs its timers before it reads
             for data, source in pending:
                 self.receive(node, data, source)
 
     def run_timer(self, node: MemberNode) -> None:
-        """Lets a node do what is due."""
+        """Runs a node's timer: everything that is due."""
         if node.is_up and self.now_ms >= node.paused_until_ms:
             self.carry_out(node, node.core.tick(self.clock_of(node)))
 
     def carry_out(self, node: MemberNode, actions: list[Action]) -> None:
-        """Carries out what a node's protocol asks for, then sets its timer anew."""
+        """Carries out the actions of a node's protocol, then resets its timer."""
         for action in actions:
             match action:
                 case SendDatagram(to, message):
@@ -229,17 +229,17 @@
         self.receive(node, data, source)
 
     def receive(self, node: MemberNode, data: bytes, source: Address) -> None:
-        """Lets a node read a datagram."""
+        """Lets a node receive a datagram."""
         verified = node.authenticator.verify(data, self.clock_of(node))
         if isinstance(verified, DropReason):
             self.dropped[verified] += 1
             return
         self.carry_out(node, node.core.receive(decode(verified), source, self.clock_of(node)))
 
-    # Streams: nothing is lost, but they need a path both ways and a process at the other end.
+    # Streams: no data is lost, but both directions must be open and the peer's process must run.
 
     def start_sync(self, node: MemberNode, peer: Address) -> None:
-        """Synchronizes the state of a node with its peer's, after a while."""
+        """Starts to synchronize a node's state with a peer; it completes or fails after a delay."""
         target = self.node_at(peer)
         if target is not None and self._has_stream(node, target):
             self.schedule(SYNC_DELAYS * self._delay_ms(), lambda: self._sync(node, target))
@@ -271,7 +271,7 @@
             self.carry_out(node, node.core.on_sync_failed(peer))
 
     def start_probe(self, node: MemberNode, probe: StartConfirmationProbe) -> None:
-        """Answers a confirmation probe, after a while, as the suspect's process or system would."""
+        """Starts a confirmation probe; its outcome and duration depend on the suspect's state."""
         target = self.node_at(probe.to)
         outcome = self._probe_outcome(node, target)
         match outcome:
@@ -303,7 +303,7 @@
         probe: StartConfirmationProbe,
         outcome: ProbeOutcome,
     ) -> None:
-        """Reports the outcome of a confirmation probe; the target may have been stopped meanwhile."""
+        """Reports the outcome of a confirmation probe, even if the target was stopped meanwhile."""
         if not node.is_up or self.now_ms < node.paused_until_ms:
             return
         now_ms = self.clock_of(node)
@@ -312,13 +312,18 @@
             if outcome is ProbeOutcome.RESPONDED:
                 self._count(node, probe.message)
                 clock_difference_ms = abs(node.clock_offset_ms - target.clock_offset_ms)
-                if clock_difference_ms > node.authenticator.window_ms:  # neither accepts the other's messages
-                    outcome, now_ms = ProbeOutcome.UNREACHABLE, self.now_ms  # by the true time
+                if (
+                    clock_difference_ms > node.authenticator.window_ms
+                ):  # neither node accepts the other's messages
+                    outcome, now_ms = (
+                        ProbeOutcome.UNREACHABLE,
+                        self.now_ms,
+                    )  # in real time, not on the node's clock
                 else:
-                    self._answer_probe(node, target, probe)
+                    self._complete_probe(node, target, probe)
         self.carry_out(node, node.core.on_probe_outcome(probe.name, probe.run_id, outcome, now_ms))
 
-    def _answer_probe(self, node: MemberNode, target: MemberNode, probe: StartConfirmationProbe) -> None:
+    def _complete_probe(self, node: MemberNode, target: MemberNode, probe: StartConfirmationProbe) -> None:
         ack, actions = target.core.on_confirmation_probe(probe.message, self.clock_of(target))
         self.carry_out(target, actions)
         self._count(target, ack)
@@ -328,21 +333,21 @@
         self.sent_bytes[node.name] += LENGTH_PREFIX.size + len(encode(message)) + OVERHEAD_BYTES
         return message
 
-    # What can be observed.
+    # Observations.
 
     def live_as_seen_by(self, name: str) -> set[str]:
-        """Names of the other members that a node takes to be live."""
+        """Returns the names of the other members that a node considers live."""
         return {member.name for member in self.nodes[name].core.members.live()}
 
     def has_converged(self) -> bool:
-        """Whether every running member takes exactly the running members to be live."""
+        """Whether every running member considers exactly the other running members live."""
         running = {name for name, node in self.nodes.items() if node.is_up and node.core.is_active}
         return all(self.live_as_seen_by(name) == running - {name} for name in running)
 
     def changes(
         self, change: MemberChange, member: str | None = None, since_ms: float = 0.0
     ) -> list[ObservedChange]:
-        """Returns the observations of one kind of change, of one member or of all."""
+        """Returns the observed changes of one kind, for one member or for all."""
         return [
             observed
             for observed in self.observed
@@ -353,7 +358,7 @@
 def cluster(
     count: int, seed: int, config: MembershipConfig | None = None, settle_ms: float = 5_000.0
 ) -> MemberNetwork:
-    """Starts members `m0` to `mN`, which know the first two as seeds, and gives them time to meet."""
+    """Starts members m0 to m(count-1) with the first two as seeds, and runs until they know one another."""
     network = MemberNetwork(seed, config)
     for number in range(count):
         network.start(f"m{number}", tuple(f"m{seed_number}" for seed_number in range(min(number, 2))))
--- a/gladewalk/rehearsal/ownership_checker.py
+++ b/gladewalk/rehearsal/ownership_checker.py
@@ -1,13 +1,14 @@
-"""Explicit-state model checker of task ownership: every interleaving for a few members and tasks.
+"""Explicit-state model checker of task ownership: visits every interleaving for a few members and tasks.
 
-The members' views are real `Ownership` objects. A step is one of: a claim arrives, or is lost; two members
-exchange all they know; a member dies, or restarts with nothing known; a live member comes to believe another
-dead, rightly or not, or finds that it is alive. Messages, losses, deaths, restarts and wrong beliefs are
-bounded, so the states are finitely many, and all of them are visited.
+The members' views are real `Ownership` objects. A step is one of: a claim arrives or is lost; two members
+exchange all claims that they know; a member dies, or restarts without any knowledge of claims; a live member
+starts to believe, correctly or wrongly, that another is dead, or finds that it is alive. Losses, deaths,
+restarts, wrong beliefs, exchanges and the epochs of claims are bounded, so the number of states is finite,
+and all of them are visited.
 
-In each state, every task must have a live owner, or there must be messages pending that give it one: then
-the state is *settled* (all that is pending arrives, all beliefs become true, all members exchange all) and
-each task must have exactly one owner, whose claim all others know. A violation tells the steps to it.
+A state in which a task has no live owner, or in which no message is pending, is *settled*: all pending
+messages arrive, all beliefs become correct, and all members exchange all claims. Each task must then have
+exactly one owner, whose claim all other members know. A violation reports the steps that lead to it.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 MEMBERS = ("a", "b", "c")
 TASKS = ("d1", "d2")
 INTERVAL_MS = 1_000.0
-MAX_SETTLE_ROUNDS = 12
+MAX_SETTLE_ROUNDS = 12  # limit of a loop that ends earlier when a round changes nothing
 MAX_STATES = 2_000_000
-RANDOM = random.Random(0)  # draws times alone, which are no part of a state
+RANDOM = random.Random(0)  # used only for times, which are not part of a state
 
 
 @dataclass(slots=True, frozen=True)
 class PendingClaim:
-    """A claim on its way to one member."""
+    """A claim that has been sent to a member and has not arrived."""
 
     recipient: str
     task: str
@@ -47,18 +48,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """What may still happen."""
+    """How many events of each kind may still happen."""
 
     losses: int = 1
     deaths: int = 1
     restarts: int = 1
-    wrong_beliefs: int = 1  # that a live member is dead
+    wrong_beliefs: int = 1  # beliefs that a live member is dead
     exchanges: int = 1
 
 
 @dataclass(slots=True, frozen=True)
 class SystemState:
-    """The running members, what each of them knows, and what is pending."""
+    """The running members, the view of each, the pending claims and the remaining budget."""
 
     running: frozenset[str]
     views: tuple[tuple[str, MemberView], ...]
@@ -76,34 +77,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """How a state was reached."""
+    """The step by which a state was first reached."""
 
     before: SystemState
     description: str
 
 
 class OwnershipViolationError(GladewalkError, AssertionError):
-    """A task that no member owns, or two do, with nothing pending that mends it; tells the steps to it."""
+    """A task has no owner or several, or an owner that not all know, even once settled; names the steps."""
 
 
 class StateLimitError(GladewalkError, RuntimeError):
-    """There are more states than the checker may visit."""
+    """The number of states exceeds the checker's limit."""
 
 
 @dataclass(slots=True)
 class OwnershipChecker:
-    """Visits all states; `ownership_type` is the class under test, or one broken on purpose."""
+    """Visits all states; `ownership_type` is the class under test or a deliberately broken variant."""
 
     ownership_type: type[Ownership] = Ownership
     budget: Budget = field(default_factory=Budget)
-    max_epoch: int = 6  # runs with later ones are one of these with more of the same
+    max_epoch: int = 6  # states with later epochs only repeat the behaviour of these and are not visited
     reached_by: dict[SystemState, Step | None] = field(default_factory=dict)
     settled_count: int = 0
 
     def run(self, max_states: int = MAX_STATES) -> int:
-        """Visits every state and returns how many there are.
+        """Visits every state and returns their number.
 
-        Raises `OwnershipViolationError` at the first that is wrong, `StateLimitError` if there are too many.
+        Raises:
+            OwnershipViolationError: A state violates a rule; raised at the first one found.
+            StateLimitError: There are more than `max_states` states.
         """
         first = self.first_state()
         self.reached_by[first] = None
@@ -121,7 +124,7 @@
         return len(self.reached_by)
 
     def first_state(self) -> SystemState:
-        """Returns the state in which all run, know one another and have just claimed what is theirs."""
+        """Returns the state in which all members run, know one another and have just claimed their tasks."""
         nothing = MemberView(frozenset(MEMBERS), (), ())
         state = SystemState(
             frozenset(MEMBERS), tuple((name, nothing) for name in MEMBERS), frozenset(), self.budget
@@ -132,10 +135,10 @@
             state = self._update(state, name, ownership)
         return state
 
-    # What can happen.
+    # Possible steps.
 
     def steps(self, state: SystemState) -> Iterator[tuple[str, SystemState]]:
-        """Yields everything that can happen next, with the state after it."""
+        """Yields every possible next step: its description and the state after it."""
         yield from self._deliveries(state)
         yield from self._exchanges(state)
         budget = state.budget
@@ -165,8 +168,8 @@
         for one in sorted(state.running):
             for other in sorted(state.running - {one}):
                 if one < other:
-                    exchanged = self._tell_all(self._tell_all(state, one, other), other, one)
-                    yield f"{one} and {other} exchange all", replace(exchanged, budget=budget)
+                    exchanged = self._send_all_claims(self._send_all_claims(state, one, other), other, one)
+                    yield f"{one} and {other} exchange all claims", replace(exchanged, budget=budget)
 
     def _belief_changes(self, state: SystemState, name: str) -> Iterator[tuple[str, SystemState]]:
         live, budget = state.view(name).live, state.budget
@@ -187,11 +190,11 @@
         ownership.handle_claim(message.task, message.claim, None, 0.0)
         return self._update(state, message.recipient, ownership)
 
-    def _tell_all(self, state: SystemState, teller: str, listener: str) -> SystemState:
-        ownership = self._restore(listener, state.view(listener))
-        for task, claim in state.view(teller).best_claims:
+    def _send_all_claims(self, state: SystemState, sender: str, receiver: str) -> SystemState:
+        ownership = self._restore(receiver, state.view(receiver))
+        for task, claim in state.view(sender).best_claims:
             ownership.handle_claim(task, claim, None, 0.0)
-        return self._update(state, listener, ownership)
+        return self._update(state, receiver, ownership)
 
     def _kill(self, state: SystemState, name: str) -> SystemState:
         budget = replace(state.budget, deaths=state.budget.deaths - 1)
@@ -199,7 +202,7 @@
         return replace(state, running=state.running - {name}, pending=pending, budget=budget)
 
     def _restart(self, state: SystemState, name: str) -> SystemState:
-        """Starts a new incarnation that knows who is live and nothing of tasks."""
+        """Starts a new incarnation that knows the live members but no claims."""
         ownership = self._restore(name, MemberView(frozenset({name}), (), ()))
         ownership.set_members(dict.fromkeys(state.running, 1.0), 0.0)
         budget = replace(state.budget, restarts=state.budget.restarts - 1)
@@ -214,7 +217,7 @@
         ownership.set_members(dict.fromkeys(live, 1.0), 0.0)
         return self._update(state, name, ownership)
 
-    # A member's view as an `Ownership`, and back.
+    # Conversion between a member's view and an `Ownership`.
 
     def _restore(self, name: str, view: MemberView) -> Ownership:
         ownership = self.ownership_type(name, INTERVAL_MS, RANDOM)
@@ -230,7 +233,7 @@
         return MemberView(frozenset(ownership.members), claims, owned)
 
     def _update(self, state: SystemState, name: str, ownership: Ownership) -> SystemState:
-        """Returns the state with a member's new view and its new claims on their way to all others."""
+        """Returns the state with a member's new view and its new claims pending at all other members."""
         new_view = self._view(ownership)
         views = tuple((other, new_view if other == name else view) for other, view in state.views)
         sent = {
@@ -240,12 +243,12 @@
         }
         return replace(state, views=views, pending=state.pending | sent)
 
-    # What must hold.
+    # Checks.
 
     def check(self, state: SystemState) -> None:
-        """Settles and judges a state with an unowned task, or with nothing pending."""
-        has_orphan = any(not state.owners(task) for task in TASKS)
-        if not has_orphan and state.pending:
+        """Checks a state with an unowned task, or without pending claims, after settling it."""
+        has_unowned_task = any(not state.owners(task) for task in TASKS)
+        if not has_unowned_task and state.pending:
             return
         self.settled_count += 1
         settled = self.settle(state)
@@ -253,16 +256,16 @@
             owners = settled.owners(task)
             if len(owners) != 1:
                 raise OwnershipViolationError(
-                    f"{task} is owned by {owners or 'nobody'} after:\n{self.describe(state)}"
+                    f"{task} is owned by {owners or 'no member'} after:\n{self.describe(state)}"
                 )
             claim = dict(settled.view(owners[0]).owned)[task]
             if any(dict(settled.view(name).best_claims)[task] != claim for name in settled.running):
                 raise OwnershipViolationError(
-                    f"not all know the claim {claim} to {task} after:\n{self.describe(state)}"
+                    f"not all members know the claim {claim} to {task} after:\n{self.describe(state)}"
                 )
 
     def settle(self, state: SystemState) -> SystemState:
-        """Lets all that is pending happen, again and again until nothing changes."""
+        """Corrects beliefs, delivers pending claims and exchanges all claims until nothing changes."""
         for _ in range(MAX_SETTLE_ROUNDS):
             before = state
             for name in sorted(state.running):
@@ -273,19 +276,19 @@
                 state = self._deliver(without, message)
             for one in sorted(state.running):
                 for other in sorted(state.running - {one}):
-                    state = self._tell_all(state, one, other)
+                    state = self._send_all_claims(state, one, other)
             if state == before:
                 break
         return state
 
     def describe(self, state: SystemState) -> str:
-        """Returns the steps that led to a state, one a line."""
+        """Returns the steps that led to a state, one per line."""
         descriptions = []
         step = self.reached_by[state]
         while step is not None:
             descriptions.append(step.description)
             step = self.reached_by[step.before]
-        return "\n".join(reversed(descriptions)) or "nothing"
+        return "\n".join(reversed(descriptions)) or "no step"
 
     def _is_past_max_epoch(self, state: SystemState) -> bool:
         return any(claim.epoch > self.max_epoch for _, view in state.views for _, claim in view.best_claims)
--- a/gladewalk/rehearsal/resolver.py
+++ b/gladewalk/rehearsal/resolver.py
@@ -1,4 +1,4 @@
-"""A stand-in DNS resolver: queries by UDP, then by TCP if the answer is truncated, and caches answers."""
+"""A stand-in DNS resolver: queries over UDP, then over TCP if the answer is truncated; caches answers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from ..config.platform import Address
 
 QUERY_TIMEOUT_S = 20.0
-LENGTH_BYTES = 2  # before each message over TCP (RFC 1035, section 4.2.2)
+LENGTH_BYTES = 2  # size of the length prefix of a message over TCP (RFC 1035, section 4.2.2)
 
 
 class CachedAnswer(NamedTuple):
-    """Addresses and until when they may be used, on the monotonic clock."""
+    """Addresses and the time on the monotonic clock at which they expire."""
 
     expires_at_s: float
     addresses: list[str]
 
 
 class _AnswerProtocol(asyncio.DatagramProtocol):
-    """Resolves a future with the first datagram."""
+    """Sets a future's result to the first datagram received."""
 
     def __init__(self, answer: asyncio.Future[bytes]) -> None:
         self._answer = answer
@@ -36,11 +36,11 @@
 
 
 class StubResolver:
-    """Asks one name server (RFC 1034, section 5.3.1), as resolvers of clients do.
+    """A stub resolver that queries one name server (RFC 1034, section 5.3.1).
 
     Args:
         server: The name server's address.
-        min_cache_s: The least time for which an answer is used, whatever its TTL says; 0 keeps to the TTL.
+        min_cache_s: The least time for which an answer is cached, even if its TTL is shorter.
         source_host: The address that queries are sent from.
     """
 
@@ -50,7 +50,7 @@
         self.query_count = 0
 
     async def resolve(self, name: str, record_type: str = "A") -> list[str]:
-        """Returns the addresses of a name, out of the cache while the answer is fresh."""
+        """Returns the addresses of a name, from the cache until they expire."""
         cached = self.cache.get((name, record_type))
         if cached is not None and time.monotonic() < cached.expires_at_s:
             return cached.addresses
@@ -64,10 +64,10 @@
     async def query(
         self, query: dns.message.Message, timeout_s: float = QUERY_TIMEOUT_S
     ) -> dns.message.Message:
-        """Sends a query and returns the reply, over TCP if the one over UDP is truncated.
+        """Sends a query and returns the reply; repeats it over TCP if the reply over UDP is truncated.
 
         Raises:
-            TimeoutError: There is no reply in `timeout_s`.
+            TimeoutError: There is no reply within `timeout_s`.
         """
         self.query_count += 1
         reply = dns.message.from_wire(await self.exchange_udp(query.to_wire(), timeout_s))
@@ -76,7 +76,7 @@
         return reply
 
     async def exchange_udp(self, wire: bytes, timeout_s: float = QUERY_TIMEOUT_S) -> bytes:
-        """Sends one datagram and returns the first that comes back."""
+        """Sends one datagram and returns the first datagram received in reply."""
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[bytes] = loop.create_future()
         transport, _ = await loop.create_datagram_endpoint(
@@ -87,7 +87,7 @@
             return await asyncio.wait_for(answer, timeout_s)
 
     async def exchange_tcp(self, wire: bytes, timeout_s: float = QUERY_TIMEOUT_S) -> bytes:
-        """Sends one message on a connection of its own and returns the answer."""
+        """Sends one message on a new connection and returns the reply."""
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*self.server, local_addr=(self._source_host, 0))
             with contextlib.closing(writer):
--- a/gladewalk/rehearsal/scripted_http2_server.py
+++ b/gladewalk/rehearsal/scripted_http2_server.py
@@ -1,8 +1,8 @@
-"""A scripted cache server that speaks HTTP/2, in clear text or over TLS (RFC 9113, by `h2`'s server side).
+"""A scripted HTTP/2 cache server, in clear text or over TLS (RFC 9113; uses the server side of `h2`).
 
-Its script answers a request, refuses or resets it, sends GOAWAY, goes silent, lowers limits, or puts any
-frame on the connection. The server records a request as processed at the moment its script processes it:
-checks compare with this record. `http2_fault_script` has a script that draws faults from a seed.
+Its script can respond to a request, refuse or reset it, send GOAWAY, stop responding, lower limits, or send
+any frame on the connection. The server records a request as processed when its script processes it; checks
+compare with this record. `http2_fault_script` contains a script that draws faults from a seed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .http_messages import header_names
 from .scripted_servers import NOT_MODIFIED, StandInServer
 
-GRACEFUL_LAST_STREAM_ID = 2**31 - 1  # of the first GOAWAY of a graceful shutdown (RFC 9113, section 6.8)
+GRACEFUL_LAST_STREAM_ID = 2**31 - 1  # in the first GOAWAY of a graceful shutdown (RFC 9113, section 6.8)
 RESPONSE_HEADERS = {
     "x-remark": "mem",
     "tag": "4be0",
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class Http2Request:
-    """One request as the server read it."""
+    """A request that the server received."""
 
     connection: Http2ServerConnection
     stream_id: int
@@ -44,24 +44,24 @@
     path: str
     headers: dict[str, str]
     body: bytes = b""
-    is_complete: bool = False  # its last byte has arrived
+    is_complete: bool = False  # its last byte has been received
     is_processed: bool = False
     is_closed: bool = False  # the response is complete, or the stream was reset
 
     @property
     def ticket(self) -> str:
-        """The header `X-Ticket`; empty without it."""
+        """The value of the header `X-Ticket`; empty if absent."""
         return self.headers.get("x-ticket", "")
 
     def process(self) -> None:
-        """Records that the request takes effect; once for each time it does."""
+        """Records that the request has been processed; one record per call."""
         self.is_processed = True
         if self.connection.server.keeps_records:
             self.connection.server.processed.append(self)
         self.connection.note_processing(self.stream_id)
 
     def respond(self, status: int = 200, body: bytes = b"", may_process: bool = True, **fields: str) -> None:
-        """Sends a response; 200 and 304 process the request first if that has not been done."""
+        """Sends a response; for status 200 or 304 the request is processed first if it was not before."""
         if may_process and not self.is_processed and status in PROCESSED_STATUSES:
             self.process()
         self.send_headers(
@@ -73,7 +73,7 @@
     def send_headers(
         self, status: int, content_length: int | None, ends_stream: bool = False, **fields: str
     ) -> None:
-        """Sends the response's HEADERS frame; nothing on a stream that is closed."""
+        """Sends the response's HEADERS frame; does nothing on a closed stream."""
         if self.is_closed or self.connection.is_closed:
             return
         headers = [(":status", str(status)), *{**RESPONSE_HEADERS, **header_names(fields)}.items()]
@@ -84,7 +84,7 @@
         self.connection.flush()
 
     def reset(self, code: int) -> None:
-        """Sends RST_STREAM; nothing on a stream that is closed."""
+        """Sends RST_STREAM; does nothing on a closed stream."""
         if self.is_closed or self.connection.is_closed:
             return
         self.is_closed = True
@@ -96,7 +96,7 @@
 
 
 class Http2ServerConnection(asyncio.Protocol):
-    """One connection to a scripted server, with what a script may do to it."""
+    """A connection to a scripted server, with the operations that scripts use."""
 
     def __init__(self, server: ScriptedHttp2Server) -> None:
         self.server = server
@@ -105,9 +105,11 @@
             {SettingCodes.MAX_CONCURRENT_STREAMS: server.max_concurrent_streams, **server.settings}
         )
         self.engine.local_settings.acknowledge()
-        self.last_processed_id = 0  # the highest stream that was processed or may yet be
+        self.last_processed_id = 0  # the highest stream that was or may yet be processed
         self.is_unresponsive = self.is_going_away = False
-        self.bytes_until_abort: int | None = None  # that are still read before the connection breaks
+        self.bytes_until_abort: int | None = (
+            None  # bytes that are still read before the connection is aborted
+        )
         self.transport: asyncio.Transport | None = None
         self._requests: dict[int, Http2Request] = {}
         self.unsent_bodies: dict[int, tuple[Http2Request, bytes, bool]] = {}
@@ -121,10 +123,10 @@
         """Raises `last_processed_id` to a stream that is processed, or may be from now on."""
         self.last_processed_id = max(self.last_processed_id, stream_id)
 
-    # asyncio's callbacks.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the server's connection preface unless the server is to stay silent."""
+        """Sends the server's connection preface unless `sends_preface` is False."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.add_connection(self)
         if self.server.sends_preface:
@@ -137,7 +139,7 @@
         self.server.open_connections.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Reads frames, runs the script for complete requests and sends what the windows allow."""
+        """Reads frames, runs the script for complete requests and sends pending bodies as windows allow."""
         if self.is_unresponsive or not self.server.sends_preface:
             return
         if self.bytes_until_abort is not None:
@@ -199,10 +201,10 @@
         self.unsent_bodies.pop(stream_id, None)
         self.server.resets_received += 1
 
-    # What a script may do.
+    # Operations for scripts.
 
     def send_body(self, request: Http2Request, body: bytes, ends_stream: bool) -> None:
-        """Sends a body as far as the flow-control windows allow; the rest once they open."""
+        """Sends a body as far as the flow-control windows allow, and the remainder when they open."""
         stream_id = request.stream_id
         self.unsent_bodies.pop(stream_id, None)
         while body and not request.is_closed and not self.is_closed:
@@ -220,27 +222,27 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes what the engine has to send, unless the connection is silent."""
+        """Writes the engine's pending data, unless the connection is unresponsive."""
         data = self.engine.data_to_send()
         if data and self.transport is not None and not self.is_unresponsive:
             self.transport.write(data)
 
     def send_goaway(self, last_stream_id: int, code: int = ErrorCodes.NO_ERROR) -> None:
-        """Sends GOAWAY alone; streams go on, as RFC 9113, section 6.8 has it."""
+        """Sends GOAWAY without closing anything; streams continue (RFC 9113, section 6.8)."""
         self.send_frames(GoAwayFrame(0, last_stream_id=last_stream_id, error_code=code))
 
     def send_frames(self, *frames: Frame) -> None:
-        """Sends any frames, whether or not the protocol allows them."""
+        """Sends frames without checking whether the protocol allows them."""
         self.send_raw(b"".join(frame.serialize() for frame in frames))
 
     def send_raw(self, data: bytes) -> None:
-        """Sends any bytes."""
+        """Sends raw bytes."""
         if not self.is_closed and self.transport is not None:
             self.flush()
             self.transport.write(data)
 
     def update_settings(self, **values: int) -> None:
-        """Sends SETTINGS, by their names in `SettingCodes`."""
+        """Sends SETTINGS; keywords are names of `SettingCodes` in lower case."""
         if not self.is_closed:
             self.engine.update_settings({SettingCodes[name.upper()]: value for name, value in values.items()})
             self.flush()
@@ -251,29 +253,31 @@
             self.transport.abort()
 
     def close(self) -> None:
-        """Closes the connection once everything is sent."""
+        """Closes the connection after all pending data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
 
 @dataclass(slots=True, eq=False)
 class ScriptedHttp2Server(StandInServer[Http2Script]):
-    """A stand-in server that speaks HTTP/2, answers by its script and records what it received."""
+    """A stand-in HTTP/2 server that responds by its script and records the requests received."""
 
     capacity: float = 1_000.0
     max_concurrent_streams: int = 128  # on each connection
     settings: dict[SettingCodes | int, int] = field(default_factory=dict)
     on_headers: Http2Script | None = None  # called before a request's body arrives
-    keeps_records: bool = True  # of requests received and processed; False: for long benchmarks
-    sends_preface: bool = True  # False: it accepts connections and never sends a byte
-    withholds_window: bool = False  # request bodies are read without WINDOW_UPDATE
+    keeps_records: bool = (
+        True  # whether `received` and `processed` are filled; False saves memory in long benchmarks
+    )
+    sends_preface: bool = True  # False: the server accepts connections and sends no data
+    withholds_window: bool = False  # True: request bodies are read without sending WINDOW_UPDATE
     received: list[Http2Request] = field(default_factory=list)
     processed: list[Http2Request] = field(default_factory=list)
     open_connections: list[Http2ServerConnection] = field(default_factory=list)
-    protocol_errors: list[str] = field(default_factory=list)  # made by the other side
-    max_connections: int = 0  # at a time, those that are going away not counted
-    max_streams: int = 0  # at a time on one connection
-    streams_over_limit: int = 0  # opened over a limit that had been acknowledged
+    protocol_errors: list[str] = field(default_factory=list)  # protocol violations by the peer
+    max_connections: int = 0  # most connections open at a time, without those that are going away
+    max_streams: int = 0  # most streams open at a time on one connection
+    streams_over_limit: int = 0  # streams opened over a limit that had been acknowledged
     resets_received: int = 0
 
     def _new_protocol(self) -> asyncio.Protocol:
@@ -286,7 +290,7 @@
         self.max_connections = max(self.max_connections, len(self.usable_connections()))
 
     def record_request(self, request: Http2Request) -> None:
-        """Keeps a request and counts its connection's open streams."""
+        """Records a request and updates `max_streams`."""
         self.received.append(request)
         self.max_streams = max(self.max_streams, request.connection.engine.open_inbound_streams)
 
@@ -301,5 +305,5 @@
         return [one for one in self.open_connections if not one.is_going_away and not one.is_closed]
 
     def process_counts(self) -> Counter[str]:
-        """Returns how often each request was processed, by its ticket."""
+        """Returns how often each request was processed, by ticket."""
         return Counter(request.ticket for request in self.processed)
--- a/gladewalk/rehearsal/scripted_servers.py
+++ b/gladewalk/rehearsal/scripted_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in cache servers on loopback whose answers are a script's, a function of the test or rehearsal."""
+"""Stand-in cache servers on loopback; a script, a function of a test or rehearsal, sends the responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class StandInServer(Generic[ScriptT]):
-    """A cache, parent or origin as the coordinator lists it, listening on loopback once started."""
+    """A cache, parent or origin that the coordinator can list; listens on loopback after `start`."""
 
     script: ScriptT
     uid: str = "c1"
@@ -35,10 +35,10 @@
 
     @abstractmethod
     def _new_protocol(self) -> asyncio.Protocol:
-        """Returns the protocol of a connection that is being accepted."""
+        """Returns the protocol for a new connection."""
 
     async def start(self) -> Self:
-        """Listens on a port of the system's choice; `address` then has it."""
+        """Listens on a port that the system assigns; `address` contains it afterwards."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._new_protocol, self.host, 0, ssl=self.tls)
         self.address = f"{self.host}:{self._server.sockets[0].getsockname()[1]}"
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One request as a scripted server read it; header names are in lower case."""
+    """A request that a scripted server received; header names are in lower case."""
 
     method: str
     path: str
@@ -75,7 +75,7 @@
     writer: asyncio.StreamWriter
 
     async def respond(self, status: int = 200, body: bytes = b"", **fields: str) -> None:
-        """Sends a response; `fields` are further headers, as `X_Remark` for `X-Remark`."""
+        """Sends a response; `fields` are further headers (see `header_names`)."""
         headers = header_names(fields)
         if status != NOT_MODIFIED:
             headers["Content-Length"] = str(len(body))
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, eq=False)
 class ScriptedServer(StandInServer[Http1Script]):
-    """A stand-in server that speaks HTTP/1.1, answers by its script and records what it received."""
+    """A stand-in HTTP/1.1 server that responds by its script and records the requests received."""
 
     received: list[ReceivedRequest] = field(default_factory=list)
 
@@ -107,6 +107,6 @@
                 self.received.append(request)
                 await self.script(request)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the client or the server's end closes the connection
+            pass  # the client closed the connection, or the server is being stopped
         finally:
             writer.close()
--- a/gladewalk/rehearsal/site_check.py
+++ b/gladewalk/rehearsal/site_check.py
@@ -1,8 +1,8 @@
 """Checks an imported site against stand-in servers: the command `gladewalk rehearse SITE URI...`.
 
-Every server of every upstream is a stand-in on loopback, with a director and the site's front before them.
-Each URI is requested as a client would, and one line says where it goes by the table, who answered, and with
-what. The command ends with exit code 1 if the two disagree.
+All servers of all upstreams are stand-ins on loopback, behind a director with the site's front. Each URI is
+requested as by a client; one line reports its destination according to the table, the server that responded
+and the status. The command ends with exit code 1 if a response does not match the table.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SiteCheck(NamedTuple):
-    """The lines of a check, one for each request, and whether every answer is as the table says."""
+    """The lines of a check, one per request, and whether every response matches the table."""
 
     lines: list[str]
     agrees: bool
@@ -36,20 +36,20 @@
 
 
 async def _check_site(site: Site, requests: Iterable[RequestDescription]) -> SiteCheck:
-    router, lines, all_agree = Router(site), [], True
+    router, lines, all_match = Router(site), [], True
     async with SiteHarness(site) as harness:
         for request in requests:
             landing = route_request(router, request)
             response = await _fetch(harness, request)
             upstream = response.server.rpartition("/")[0]
-            agrees = upstream == landing.upstream and (bool(upstream) or response.status == landing.status)
-            who = f"{response.status} from {response.server or 'the director'}"
-            verdict = "" if agrees else " -- NOT AS THE TABLE SAYS"
-            lines.append(f"{request}: {describe_landing(landing)}; {who}{verdict}")
-            all_agree = all_agree and agrees
-    return SiteCheck(lines, all_agree)
+            matches = upstream == landing.upstream and (bool(upstream) or response.status == landing.status)
+            responder = f"{response.status} from {response.server or 'the director'}"
+            verdict = "" if matches else " -- NOT AS THE TABLE SAYS"
+            lines.append(f"{request}: {describe_landing(landing)}; {responder}{verdict}")
+            all_match = all_match and matches
+    return SiteCheck(lines, all_match)
 
 
 def check_site(site: Site, requests: Iterable[RequestDescription]) -> SiteCheck:
-    """Requests each URI of a site played on loopback, in an event loop of its own."""
+    """Runs a site on loopback in a new event loop and checks the response to each request."""
     return asyncio.run(_check_site(site, requests))
--- a/gladewalk/rehearsal/site_harness.py
+++ b/gladewalk/rehearsal/site_harness.py
@@ -1,7 +1,7 @@
-"""An imported nginx site on loopback: stand-in servers for its upstreams and a director with its front.
+"""Runs an imported nginx site on loopback: stand-in servers for its upstreams, and a director with its front.
 
-Each server of each upstream is a scripted one that answers with its own name and what it was asked for, or
-by a script of the test's own. Addresses of the table are moved to where the stand-ins listen.
+Each server of each upstream is a scripted server, which responds with its name and the request line or runs a
+script of the test. The addresses in the site's table are replaced by those of the stand-ins.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
     """A chunked body ended before its last chunk (RFC 9112, section 8)."""
 
 
-async def answer_with_name(request: ReceivedRequest) -> None:
-    """Answers with the server's name and the request line, in the body and in `X-Server`."""
+async def respond_with_name(request: ReceivedRequest) -> None:
+    """Responds with the server's name and the request line in the body, and with the name in `X-Server`."""
     body = f"{request.server.uid} {request.method} {request.path}".encode()
     await request.respond(200, b"" if request.method == "HEAD" else body, X_Server=request.server.uid)
 
 
 @dataclass(slots=True)
 class SiteResponse:
-    """A client's view of one response; header names are in lower case."""
+    """A response as a client received it; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -47,7 +47,7 @@
 
     @property
     def server(self) -> str:
-        """The name of the stand-in server that answered; empty for the director itself."""
+        """The name of the stand-in server that responded; empty if the director did."""
         return self.headers.get("x-server", "")
 
 
@@ -55,12 +55,13 @@
 class SiteHarness:
     """Starts a site's stand-in servers and a director; `async with` starts and stops them all.
 
-    A server is named `UPSTREAM/N`, N being its place in the upstream; `scripts` has scripts by that name.
+    A server is named `UPSTREAM/N`, where N is its index in the upstream; `scripts` maps such names to
+    scripts.
     """
 
     site: Site
     scripts: dict[str, Http1Script] = field(default_factory=dict)
-    settings: dict[str, object] = field(default_factory=dict)  # of the table `front.http`
+    settings: dict[str, object] = field(default_factory=dict)  # further settings of the table `front.http`
     servers: dict[str, ScriptedServer] = field(default_factory=dict)
     director: Director | None = None
     _folder: tempfile.TemporaryDirectory[str] | None = None
@@ -77,11 +78,11 @@
         return self
 
     async def _start_upstream(self, upstream: UpstreamRow) -> UpstreamRow:
-        """Starts stand-ins for an upstream's servers and returns the upstream at their addresses."""
+        """Starts stand-ins for an upstream's servers and returns the upstream with their addresses."""
         servers = []
         for number, row in enumerate(upstream.servers):
             name = f"{upstream.name}/{number}"
-            server = ScriptedServer(self.scripts.get(name, answer_with_name), name)
+            server = ScriptedServer(self.scripts.get(name, respond_with_name), name)
             self.servers[name] = await server.start()
             servers.append(msgspec.structs.replace(row, address=server.address))
         return msgspec.structs.replace(upstream, servers=servers)
@@ -106,7 +107,7 @@
         self._folder.cleanup()
 
     def address(self, listen: str = "") -> Address:
-        """Returns where one of the table's listens is served; the first if none is named.
+        """Returns the address at which a listen of the table is served; the first listen if none is named.
 
         Raises:
             KeyError: The table has no such listen.
@@ -126,7 +127,7 @@
         listen: str = "",
         **fields: str,
     ) -> SiteResponse:
-        """Sends one request on a connection of its own; `fields` are headers, as `X_Remark`."""
+        """Sends one request on a new connection; `fields` are headers (see `header_names`)."""
         headers = {"Host": host, "Connection": "close", **header_names(fields)}
         if body:
             headers["Content-Length"] = str(len(body))
@@ -135,7 +136,7 @@
         )
 
     async def send(self, data: bytes, is_head: bool = False, listen: str = "") -> SiteResponse:
-        """Sends any bytes on a connection of its own and returns the one response to them."""
+        """Sends raw bytes on a new connection and returns the response to them."""
         reader, writer = await asyncio.open_connection(*self.address(listen))
         with contextlib.closing(writer):
             writer.write(data)
@@ -152,8 +153,8 @@
     """Joins the chunks of a body (RFC 9112, section 7.1).
 
     Raises:
-        IncompleteBodyError: The body was cut within a chunk.
-        ValueError: A chunk has no length.
+        IncompleteBodyError: The body ends within a chunk.
+        ValueError: A chunk has no valid size.
     """
     chunks: list[bytes] = []
     while True:
@@ -162,6 +163,8 @@
         if not size:
             return b"".join(chunks)
         if len(data) < size + len(CRLF):
-            raise IncompleteBodyError(f"a chunk of {size} bytes has {len(data)}")
+            raise IncompleteBodyError(
+                f"body ends within a chunk: {len(data)} bytes left of {size} and a line end"
+            )
         chunks.append(data[:size])
         data = data[size + len(CRLF) :]
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -1,7 +1,7 @@
-"""Shared tasks in virtual time: the real `TaskRunner`, `Ownership` and `Membership` on a network in memory.
+"""Simulates shared tasks in virtual time: real `TaskRunner`, `Ownership` and `Membership`, virtual network.
 
-Servers to check are names; each health check is recorded with its time. Nodes are killed, stopped, cut off
-and restarted as on `member_network`, and what they own and do can be read at any moment.
+The servers to check are only names; each health check is recorded with its time. Nodes can be killed,
+stopped, cut off and restarted as in `member_network`; the tasks that they own can be read at any time.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 CHECK_LATENCY_MS = 1.0
 CHECK_KIND = "load"
-MAX_FINDING_AGE_MS = 3_000.0
-RESUME_DELAY_MS = 0.01  # after a stop, so that what was received meanwhile is handled first
-SEED_COUNT = 2
+MAX_FINDING_AGE_MS = 3_000.0  # older results of checks are ignored
+RESUME_DELAY_MS = 0.01  # after a pause, so that messages received during it are handled first
+SEED_COUNT = 2  # members that the others know at their start
 
 
 @dataclass(slots=True, frozen=True)
 class SentCheck:
-    """A health check, by whom, and of which server."""
+    """A health check: its time, the node that sent it, and the server."""
 
     at_ms: float
     sender: str
@@ -36,7 +36,7 @@
 
 
 class SimulatedPeers:
-    """A node's members as `TaskRunner` sees them, as `MembershipTransport` is on sockets."""
+    """A node's membership as `TaskRunner` uses it, in place of `MembershipTransport`."""
 
     def __init__(self, node: MemberNode) -> None:
         self.node, self.core = node, node.core
@@ -44,12 +44,12 @@
         self.on_event: Callable[[UserEvent], None] = lambda event: None
 
     def publish_event(self, event: UserEvent) -> None:
-        """Spreads a claim or a finding to all members."""
+        """Publishes a claim or a result to all members."""
         self.core.publish_event(event)
 
 
 class VirtualScheduler:
-    """A node's own sweeps: they stand still while it does, and end with it."""
+    """Schedules a node's sweeps: they are delayed while the node is paused, and end when it stops."""
 
     def __init__(self, network: TaskNetwork, node: MemberNode) -> None:
         self.network, self.node = network, node
@@ -70,10 +70,11 @@
 
 
 class SharedRanks:
-    """The nodes' rendezvous hash, computed once for all of them; all members weigh the same.
+    """The nodes' rendezvous hash, computed once for all nodes; all members have equal weight.
 
-    A thousand nodes would each hash millions of pairs. The highest `cached_count` ranks of each task are
-    cached; where none of them is among the members asked for, the hash is computed anew.
+    Without it, each of a thousand nodes would hash millions of pairs. The highest `cached_count` ranks of
+    each task are cached; if none of them belongs to the given members, the hash is computed for these
+    members.
     """
 
     def __init__(self, names: Iterable[str], cached_count: int = 24) -> None:
@@ -81,7 +82,7 @@
         self._highest: dict[str, list[Rank]] = {}
 
     def best_rank(self, task: str, members: Mapping[str, float]) -> Rank:
-        """Returns the highest rank among members."""
+        """Returns the highest rank for a task among `members`."""
         highest = self._highest.get(task)
         if highest is None:
             ranks = sorted(
@@ -95,7 +96,7 @@
 
 
 class SimulatedHealthCheck:
-    """A task type of the simulation: every server answers."""
+    """The task type of the simulation: a health check to which every server responds."""
 
     kind = CHECK_KIND
 
@@ -107,49 +108,51 @@
         return self.network.listed
 
     def perform(self, target: str, on_result: ResultCallback) -> None:
-        """Records a check; its answer is lost if the node dies meanwhile."""
+        """Records a check; its response is lost if the node stops meanwhile."""
         self.network.checks.append(SentCheck(self.network.now_ms, self.node.name, target))
 
-        def answer() -> None:
+        def report_response() -> None:
             if self.node.is_up:
                 on_result(api.Status.OK, CHECK_LATENCY_MS, None)
 
-        self.network.schedule(CHECK_LATENCY_MS, answer)
+        self.network.schedule(CHECK_LATENCY_MS, report_response)
 
     def record_result(self, result: api.HealthCheckResult) -> None:
-        """Records when the latest finding that the node has was made."""
-        found_at_ms = self.network.now_ms - result.age_ms
-        self.network.known_since_ms[self.node.name, result.server] = found_at_ms
+        """Records the time of the check behind the node's latest result for a server."""
+        checked_at_ms = self.network.now_ms - result.age_ms
+        self.network.known_since_ms[self.node.name, result.server] = checked_at_ms
 
 
 class TaskNetwork(MemberNetwork):
-    """Nodes with shared tasks; `checks` has every health check in its order."""
+    """Nodes with shared tasks; `checks` contains all health checks in order of time."""
 
     def __init__(
         self,
         seed: int,
         servers: Iterable[str],
         interval_ms: float = 1_000.0,
-        terms: MembershipConfig | None = None,
+        membership_config: MembershipConfig | None = None,
         checks_per_second: float = 0.0,
     ) -> None:
-        super().__init__(seed, terms)
+        super().__init__(seed, membership_config)
         self.servers, self.interval_ms = tuple(servers), interval_ms
         self.checks_per_second = checks_per_second
         self.listed = frozenset(self.servers)
         self.ranks: SharedRanks | None = None
         self.runners: dict[str, TaskRunner] = {}
         self.checks: list[SentCheck] = []
-        self.known_since_ms: dict[tuple[str, str], float] = {}  # by node and server: the latest finding
-        self.on_event = lambda node, news: self.runners[node.name].peers.on_event(news)
+        self.known_since_ms: dict[
+            tuple[str, str], float
+        ] = {}  # time of the latest check result, by node and server
+        self.on_event = lambda node, event: self.runners[node.name].peers.on_event(event)
         self.on_change = self._on_change
 
     def _on_change(self, node: MemberNode, change: MemberChange, name: str) -> None:
-        if node.name in self.runners:  # else it is just being made
+        if node.name in self.runners:  # otherwise the node is still being started
             self.runners[node.name].peers.on_member_change(change, name)
 
     def join(self, name: str, seeds: tuple[str, ...] = ()) -> MemberNode:
-        """Starts a node with shared tasks, or starts it again with nothing known."""
+        """Starts a node with shared tasks, or restarts it without its earlier knowledge."""
         if name in self.nodes:
             self.nodes[name].is_up = False
         node = self.start(name, seeds)
@@ -183,7 +186,7 @@
         return all(len(self.owners(server)) == 1 for server in self.servers)
 
     def check_rates(self, since_ms: float) -> list[float]:
-        """Returns the checks per interval of each server since a time, in rising order."""
+        """Returns the checks per interval of each server since a time, in ascending order."""
         intervals = (self.now_ms - since_ms) / self.interval_ms
         counts = dict.fromkeys(self.servers, 0)
         for check in self.checks:
@@ -192,7 +195,7 @@
         return sorted(count / intervals for count in counts.values())
 
     def longest_gap_ms(self, since_ms: float) -> float:
-        """Returns the longest that any server waited for a check since a time, up to now."""
+        """Returns the longest time without a check of any server, from a time up to now."""
         last_ms = dict.fromkeys(self.servers, since_ms)
         longest_ms = 0.0
         for check in self.checks:
@@ -209,16 +212,16 @@
     interval_ms: float = 1_000.0,
     settle_ms: float = 6_000.0,
     checks_per_second: float = 0.0,
-    terms: MembershipConfig | None = None,
+    membership_config: MembershipConfig | None = None,
     starts_introduced: bool = False,
 ) -> TaskNetwork:
-    """Builds members m0 to m(count-1), with the first two as seeds, that have divided their servers.
+    """Builds members m0 to m(count-1), the first two of them seeds, and runs them for `settle_ms`.
 
     With `starts_introduced` the members know one another from the start, as after a full exchange of state,
     and begin by dividing the servers among themselves.
     """
     names = (f"b{number}" for number in range(servers))
-    network = TaskNetwork(seed, names, interval_ms, terms, checks_per_second)
+    network = TaskNetwork(seed, names, interval_ms, membership_config, checks_per_second)
     if starts_introduced:
         network.ranks = SharedRanks(f"m{number}" for number in range(count))
     for number in range(count):
@@ -231,7 +234,7 @@
 
 
 def _introduce(network: TaskNetwork) -> None:
-    """Makes all nodes know all others, with no update of it left to send."""
+    """Makes each node know all others, without updates about this left to send."""
     updates = [node.core.local for node in network.nodes.values()]
     for node in network.nodes.values():
         for update in updates:
--- a/gladewalk/rehearsal/virtual/__init__.py
+++ b/gladewalk/rehearsal/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Runs real directors in virtual time: an event loop, in-memory connections, one seed for all random draws."""
+"""Runs real directors in virtual time: an event loop, in-memory connections, one seed for all draws."""
--- a/gladewalk/rehearsal/virtual/faults.py
+++ b/gladewalk/rehearsal/virtual/faults.py
@@ -47,7 +47,7 @@
         self._history, self._rng = history, rng
         self._feed_cuts = 0
 
-    async def run(self, fault: ScenarioFault) -> None:
+    async def inject(self, fault: ScenarioFault) -> None:
         """Waits until the fault's time, begins it, and ends it after its duration."""
         await asyncio.sleep(fault.at_s)
         match fault.kind:
@@ -65,9 +65,9 @@
                 with self._cut(pairs):
                     await asyncio.sleep(fault.duration_s)
             case _:
-                await self._run_at_server(fault, self._servers[fault.target])
+                await self._inject_at_server(fault, self._servers[fault.target])
 
-    async def _run_at_server(self, fault: ScenarioFault, server: ModelServer) -> None:
+    async def _inject_at_server(self, fault: ScenarioFault, server: ModelServer) -> None:
         match fault.kind:
             case ScenarioFaultKind.SILENT:
                 server.unresponsive_count += 1
--- a/gladewalk/rehearsal/virtual/loop.py
+++ b/gladewalk/rehearsal/virtual/loop.py
@@ -144,7 +144,7 @@
         self._trace.update(b"\n")
 
     def trace(self) -> str:
-        """Returns the hash of all events so server_end, in hexadecimal digits."""
+        """Returns the hash of all events so far, in hexadecimal digits."""
         return self._trace.hexdigest()
 
     def run_as(self, host: str, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
--- a/gladewalk/rehearsal/virtual/scenario_run.py
+++ b/gladewalk/rehearsal/virtual/scenario_run.py
@@ -130,7 +130,7 @@
             self._history,
             self._rng,
         )
-        faults = [asyncio.ensure_future(injector.run(fault)) for fault in self._scenario.faults]
+        faults = [asyncio.ensure_future(injector.inject(fault)) for fault in self._scenario.faults]
         heartbeat = asyncio.ensure_future(self._send_heartbeats())
         await self._traffic.run()
         await asyncio.gather(*faults)
--- a/gladewalk/rehearsal/write_soak.py
+++ b/gladewalk/rehearsal/write_soak.py
@@ -1,8 +1,8 @@
-"""Write soak test: non-idempotent writes against cache servers that break their connections at random.
+"""Write soak test: sends non-idempotent writes to cache servers that break their connections at random.
 
-The servers' own record of what they executed is the truth; the stream ledgers' findings are the proofs that
-an attempt was never executed (RFC 9113, section 8.7). The same faults can be played over HTTP/1.1, where a
-server can signal few of them: what it would reject it can only drop.
+The servers record which writes they executed. A stream tracker's outcome can prove that an attempt was never
+executed (RFC 9113, section 8.7). The same faults can be injected over HTTP/1.1, where a server can signal few
+of them: in place of a rejection it can often only drop the connection.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 from .scripted_servers import ReceivedRequest, ScriptedServer
 
 BODY = b"10 boxes of hake"
-CLIENT_COUNT = 16  # that send at the same time
-CONNECT_TIMEOUT_MS = 2_000.0  # a busy machine is no fault
+CLIENT_COUNT = 16  # clients that send at the same time
+CONNECT_TIMEOUT_MS = 2_000.0  # long enough that a busy machine does not cause connect failures
 REQUEST_TIMEOUT_MS = 30_000.0
 SERVER_COUNT = 3
 H2_STREAM_LIMIT = 16
-SEED_STRIDE = 101  # so that the servers of one run draw from seeds of their own
-STATUS_CUT = 0  # of a write whose answer was cut off
+SEED_STRIDE = 101  # so that each server of each run has its own seed
+STATUS_CUT = 0  # status recorded for a write whose connection ended before a complete response
 
 
 def ticket(number: int) -> str:
-    """The ticket (`X-Ticket`) by which a write is known everywhere."""
+    """Returns the ticket (`X-Ticket`) that identifies a write at clients and servers."""
     return f"{number:016x}"
 
 
 class Http1Fault(Enum):
-    """What an HTTP/1.1 server may do to a request, by when its connection ends."""
+    """What an HTTP/1.1 server may do to a request, by the time at which its connection ends."""
 
     DROP_BEFORE_EXECUTION = "before"
     DROP_AFTER_EXECUTION = "after"
@@ -49,7 +49,7 @@
     NONE = "none"
 
 
-# As many of each kind as `Http2FaultScript` draws from.
+# In the proportions of the corresponding faults of `Http2FaultScript`.
 HTTP1_FAULTS = (
     *(Http1Fault.DROP_BEFORE_EXECUTION,) * 6,
     *(Http1Fault.DROP_AFTER_EXECUTION,) * 3,
@@ -59,45 +59,45 @@
 )
 
 
-class Http1Breaker:
-    """The faults of `Http2FaultScript` that HTTP/1.1 allows; `fault_fraction` of the requests meet one."""
+class Http1FaultScript:
+    """Injects the faults of `Http2FaultScript` that HTTP/1.1 allows into `fault_fraction` of the requests."""
 
     def __init__(self, seed: int, fault_fraction: float, body: bytes = b"done") -> None:
         self.executed: Counter[str] = Counter()  # by ticket
         self._random = random.Random(seed)
         self._fault_fraction, self._body = fault_fraction, body
 
-    async def __call__(self, heard: ReceivedRequest) -> None:
-        """Answers one request, or breaks its connection."""
+    async def __call__(self, request: ReceivedRequest) -> None:
+        """Responds to a request, or breaks its connection."""
         fault = Http1Fault.NONE
         if self._random.random() < self._fault_fraction:
             fault = self._random.choice(HTTP1_FAULTS)
         if fault is Http1Fault.REJECT_UNEXECUTED:
-            return await heard.respond(503, X_Shed="1")
+            return await request.respond(503, X_Shed="1")
         if fault is not Http1Fault.DROP_BEFORE_EXECUTION:
-            self.executed[heard.headers["x-ticket"]] += 1
+            self.executed[request.headers["x-ticket"]] += 1
         if fault is Http1Fault.NONE:
-            return await heard.respond(200, self._body)
+            return await request.respond(200, self._body)
         if fault is Http1Fault.DROP_WITHIN_RESPONSE:
-            heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + self._body)
-        heard.writer.transport.abort()
+            request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + self._body)
+        request.writer.transport.abort()
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What became of the writes of one run, by ticket where it says so."""
+    """The outcomes of the writes of one run; lists contain tickets."""
 
     seed: int
     statuses: dict[str, int] = field(default_factory=dict)  # by ticket
     executed_twice: list[str] = field(default_factory=list)
     acknowledged_unexecuted: list[str] = field(default_factory=list)
     retried_without_proof: list[str] = field(default_factory=list)
-    streams_over_limit: int = 0  # over a limit that had been acknowledged
+    streams_over_limit: int = 0  # streams opened over a limit that had been acknowledged
     protocol_violations: list[str] = field(default_factory=list)
     faults: Counter[str] = field(default_factory=Counter)  # by name
-    findings: Counter[str] = field(default_factory=Counter)  # by reason
-    interrupted_count: int = 0  # writes that lost a stream or a connection, or were rejected on one
-    recovered_count: int = 0  # of these, answered with success all the same
+    findings: Counter[str] = field(default_factory=Counter)  # stream outcomes by reason
+    interrupted_count: int = 0  # writes that lost a stream or connection, or were rejected by a server
+    recovered_count: int = 0  # interrupted writes that nevertheless got a response with success
 
     @property
     def has_violation(self) -> bool:
@@ -109,12 +109,12 @@
         return any(violations)
 
 
-async def send_in_turn(rehearsal: DirectorHarness, numbers: Sequence[int]) -> dict[str, int]:
-    """Sends writes one after another on one client's connection, reopened when it was cut.
+async def send_sequentially(harness: DirectorHarness, numbers: Sequence[int]) -> dict[str, int]:
+    """Sends writes one after another on a client's connection, which is reopened when it was lost.
 
     Returns the status of each by ticket.
     """
-    reader, writer = await rehearsal.connect()
+    reader, writer = await harness.connect()
     statuses = {}
     for number in numbers:
         trace, path = ticket(number), f"/invoke/bid/{number:x}"
@@ -125,7 +125,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             statuses[trace] = STATUS_CUT
             writer.close()
-            reader, writer = await rehearsal.connect()
+            reader, writer = await harness.connect()
     writer.close()
     return statuses
 
@@ -139,95 +139,94 @@
 
 
 def server_specs(cache_count: int) -> list[ServerSpec]:
-    """So many caches, and the origin, which writes reach in the end."""
+    """Returns the specifications of `cache_count` caches and of the origin, the last server that writes are sent to."""
     caches = [ServerSpec(f"c{number}", "standard", "edge-1") for number in range(cache_count)]
     return [*caches, ServerSpec("o", "origin", "north")]
 
 
-def make_rehearsal(
-    peers: Sequence[ScriptedHttp2Server] | Sequence[ScriptedServer], options: Options | None
+def build_harness(
+    servers: Sequence[ScriptedHttp2Server] | Sequence[ScriptedServer], options: Options | None
 ) -> DirectorHarness:
-    """A director in front of these servers, with patience to connect."""
+    """Returns the harness of a director in front of these servers, with a long connect timeout."""
     settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "connect_timeout_ms": CONNECT_TIMEOUT_MS}}
-    return DirectorHarness(peers, settings=settings, options=options)
+    return DirectorHarness(servers, settings=settings, options=options)
 
 
-async def _send_all(rehearsal: DirectorHarness, count: int) -> dict[str, int]:
+async def _send_all(harness: DirectorHarness, count: int) -> dict[str, int]:
     shares = [range(client, count, CLIENT_COUNT) for client in range(CLIENT_COUNT)]
     statuses: dict[str, int] = {}
-    for found in await asyncio.gather(*(send_in_turn(rehearsal, share) for share in shares)):
-        statuses |= found
+    for client_statuses in await asyncio.gather(*(send_sequentially(harness, share) for share in shares)):
+        statuses |= client_statuses
     return statuses
 
 
 async def run_http2_soak(
     seed: int, count: int, fault_fraction: float, options: Options, cache_count: int = SERVER_COUNT
 ) -> SoakReport:
-    """Plays `count` writes over HTTP/2, `fault_fraction` of which meet a fault at each server."""
+    """Sends `count` writes over HTTP/2; each server injects a fault into `fault_fraction` of its requests."""
     report = SoakReport(seed)
-    breakers = [
+    scripts = [
         Http2FaultScript(seed * SEED_STRIDE + number, fault_fraction) for number in range(cache_count + 1)
     ]
     specs = server_specs(cache_count)
-    peers = [
-        ScriptedHttp2Server(breaker, *spec, max_concurrent_streams=H2_STREAM_LIMIT)
-        for breaker, spec in zip(breakers, specs, strict=True)
+    servers = [
+        ScriptedHttp2Server(script, *spec, max_concurrent_streams=H2_STREAM_LIMIT)
+        for script, spec in zip(scripts, specs, strict=True)
     ]
     proofs: Counter[str] = Counter()
     interrupted: set[str] = set()
 
-    def witness(attempt: Attempt, finding: StreamOutcome) -> None:
-        report.findings[finding.reason.value] += 1
+    def record_outcome(attempt: Attempt, outcome: StreamOutcome) -> None:
+        report.findings[outcome.reason.value] += 1
         interrupted.add(attempt.open_request.request.trace_id)
-        if finding.is_unprocessed:
+        if outcome.is_unprocessed:
             proofs[attempt.open_request.request.trace_id] += 1
 
-    async with make_rehearsal(peers, options) as rehearsal:
-        assert rehearsal.director is not None
-        rehearsal.director.connection_pool.on_stream_ended = witness
-        report.statuses = await _send_all(rehearsal, count)
+    async with build_harness(servers, options) as harness:
+        assert harness.director is not None
+        harness.director.connection_pool.on_stream_ended = record_outcome
+        report.statuses = await _send_all(harness, count)
     executed: Counter[str] = Counter()
     sent: Counter[str] = Counter()
-    for peer, breaker in zip(peers, breakers, strict=True):
-        executed.update(peer.process_counts())
-        sent.update(asked.ticket for asked in peer.received)
-        # 503 with X-Shed: the cache protocol's own signal for `never executed`.
-        proofs.update(breaker.shed_tickets)
-        interrupted.update(breaker.shed_tickets)
-        report.faults.update(breaker.fault_counts)
-        report.streams_over_limit += peer.streams_over_limit
-        report.protocol_violations += peer.protocol_errors
+    for server, script in zip(servers, scripts, strict=True):
+        executed.update(server.process_counts())
+        sent.update(request.ticket for request in server.received)
+        # A 503 with X-Shed is the cache protocol's signal that a request was never executed.
+        proofs.update(script.shed_tickets)
+        interrupted.update(script.shed_tickets)
+        report.faults.update(script.fault_counts)
+        report.streams_over_limit += server.streams_over_limit
+        report.protocol_violations += server.protocol_errors
     report.retried_without_proof = [name for name, times in sent.items() if times - 1 > proofs[name]]
-    _judge(report, executed, interrupted)
+    _evaluate(report, executed, interrupted)
     return report
 
 
 async def run_http1_soak(
     seed: int, count: int, fault_fraction: float, cache_count: int = SERVER_COUNT
 ) -> SoakReport:
-    """Plays the same over HTTP/1.1, where nothing proves that a write was never executed."""
+    """Does the same over HTTP/1.1, where nothing proves that a write was never executed."""
     report = SoakReport(seed)
-    breakers = [
-        Http1Breaker(seed * SEED_STRIDE + number, fault_fraction) for number in range(cache_count + 1)
+    scripts = [
+        Http1FaultScript(seed * SEED_STRIDE + number, fault_fraction) for number in range(cache_count + 1)
     ]
     specs = server_specs(cache_count)
-    peers = [
-        ScriptedServer(breaker, *spec, capacity=1_000.0)
-        for breaker, spec in zip(breakers, specs, strict=True)
+    servers = [
+        ScriptedServer(script, *spec, capacity=1_000.0) for script, spec in zip(scripts, specs, strict=True)
     ]
-    async with make_rehearsal(peers, None) as rehearsal:
-        report.statuses = await _send_all(rehearsal, count)
+    async with build_harness(servers, None) as harness:
+        report.statuses = await _send_all(harness, count)
     executed: Counter[str] = Counter()
-    for breaker in breakers:
-        executed.update(breaker.executed)
-    sent = Counter(heard.headers["x-ticket"] for peer in peers for heard in peer.received)
+    for script in scripts:
+        executed.update(script.executed)
+    sent = Counter(request.headers["x-ticket"] for server in servers for request in server.received)
     interrupted = {name for name, status in report.statuses.items() if status != 200 or sent[name] > 1}
-    _judge(report, executed, interrupted)
+    _evaluate(report, executed, interrupted)
     return report
 
 
-def _judge(report: SoakReport, executed: Counter[str], interrupted: set[str]) -> None:
-    """Compares what was answered with what was executed."""
+def _evaluate(report: SoakReport, executed: Counter[str], interrupted: set[str]) -> None:
+    """Compares the responses with the executed writes."""
     succeeded = {name for name, status in report.statuses.items() if status == 200}
     report.executed_twice = [name for name, times in executed.items() if times > 1]
     report.acknowledged_unexecuted = [name for name in succeeded if not executed[name]]
