--- a/gladewalk/rehearsal/site_harness.py
+++ b/gladewalk/rehearsal/site_harness.py
@@ -163,8 +163,6 @@
         if not size:
             return b"".join(chunks)
         if len(data) < size + len(CRLF):
-            raise IncompleteBodyError(
-                f"body ends within a chunk: {len(data)} bytes left of {size} and a line end"
-            )
+            raise IncompleteBodyError(f"a chunk of {size} bytes is incomplete; bytes remaining: {len(data)}")
         chunks.append(data[:size])
         data = data[size + len(CRLF) :]
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -144,7 +144,7 @@
         self.known_since_ms: dict[
             tuple[str, str], float
         ] = {}  # time of the latest check result, by node and server
-        self.on_event = lambda node, event: self.runners[node.name].peers.on_event(event)
+        self.on_event = lambda node, user_event: self.runners[node.name].peers.on_event(user_event)
         self.on_change = self._on_change
 
     def _on_change(self, node: MemberNode, change: MemberChange, name: str) -> None:
--- a/gladewalk/rehearsal/write_soak.py
+++ b/gladewalk/rehearsal/write_soak.py
@@ -67,20 +67,20 @@
         self._random = random.Random(seed)
         self._fault_fraction, self._body = fault_fraction, body
 
-    async def __call__(self, request: ReceivedRequest) -> None:
+    async def __call__(self, http_request: ReceivedRequest) -> None:
         """Responds to a request, or breaks its connection."""
         fault = Http1Fault.NONE
         if self._random.random() < self._fault_fraction:
             fault = self._random.choice(HTTP1_FAULTS)
         if fault is Http1Fault.REJECT_UNEXECUTED:
-            return await request.respond(503, X_Shed="1")
+            return await http_request.respond(503, X_Shed="1")
         if fault is not Http1Fault.DROP_BEFORE_EXECUTION:
-            self.executed[request.headers["x-ticket"]] += 1
+            self.executed[http_request.headers["x-ticket"]] += 1
         if fault is Http1Fault.NONE:
-            return await request.respond(200, self._body)
+            return await http_request.respond(200, self._body)
         if fault is Http1Fault.DROP_WITHIN_RESPONSE:
-            request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + self._body)
-        request.writer.transport.abort()
+            http_request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + self._body)
+        http_request.writer.transport.abort()
 
 
 @dataclass(slots=True)
@@ -139,7 +139,7 @@
 
 
 def server_specs(cache_count: int) -> list[ServerSpec]:
-    """Returns the specifications of `cache_count` caches and of the origin, the last server that writes are sent to."""
+    """Returns the specifications of `cache_count` caches and of the origin, where writes are sent last."""
     caches = [ServerSpec(f"c{number}", "standard", "edge-1") for number in range(cache_count)]
     return [*caches, ServerSpec("o", "origin", "north")]
 
@@ -190,7 +190,7 @@
     sent: Counter[str] = Counter()
     for server, script in zip(servers, scripts, strict=True):
         executed.update(server.process_counts())
-        sent.update(request.ticket for request in server.received)
+        sent.update(http2_request.ticket for http2_request in server.received)
         # A 503 with X-Shed is the cache protocol's signal that a request was never executed.
         proofs.update(script.shed_tickets)
         interrupted.update(script.shed_tickets)
@@ -219,7 +219,7 @@
     executed: Counter[str] = Counter()
     for script in scripts:
         executed.update(script.executed)
-    sent = Counter(request.headers["x-ticket"] for server in servers for request in server.received)
+    sent = Counter(http_request.headers["x-ticket"] for server in servers for http_request in server.received)
     interrupted = {name for name, status in report.statuses.items() if status != 200 or sent[name] > 1}
     _evaluate(report, executed, interrupted)
     return report
