--- a/gladewalk/rehearsal/lease_simulation.py
+++ b/gladewalk/rehearsal/lease_simulation.py
@@ -53,9 +53,7 @@
     paused_until_ms: float = 0.0
     timer_epoch: int = 0  # timers of an earlier epoch, set before a pause, are ignored
     undelivered: list[bytes] = field(default_factory=list)  # received while paused
-    torn_grant_ms: float = (
-        0.0  # if not 0: the director is killed at its next save and restarted after this time
-    )
+    torn_grant_ms: float = 0.0  # if not 0: killed at its next save, and restarted after this time
 
     def clock(self, real_ms: float) -> float:
         """Returns the time on this director's clock."""
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -141,9 +141,7 @@
         self.ranks: SharedRanks | None = None
         self.runners: dict[str, TaskRunner] = {}
         self.checks: list[SentCheck] = []
-        self.known_since_ms: dict[
-            tuple[str, str], float
-        ] = {}  # time of the latest check result, by node and server
+        self.known_since_ms: dict[tuple[str, str], float] = {}  # latest check, by node and server
         self.on_event = lambda node, user_event: self.runners[node.name].peers.on_event(user_event)
         self.on_change = self._on_change
 
@@ -215,10 +213,11 @@
     membership_config: MembershipConfig | None = None,
     starts_introduced: bool = False,
 ) -> TaskNetwork:
-    """Builds members m0 to m(count-1), the first two of them seeds, and runs them for `settle_ms`.
+    """Builds members m0 to m(count-1), the first two of them seeds.
 
-    With `starts_introduced` the members know one another from the start, as after a full exchange of state,
-    and begin by dividing the servers among themselves.
+    They run for `settle_ms`, in which they divide the servers among themselves.
+
+    With `starts_introduced` they know one another from the start, as after a full exchange of state.
     """
     names = (f"b{number}" for number in range(servers))
     network = TaskNetwork(seed, names, interval_ms, membership_config, checks_per_second)
--- a/gladewalk/rehearsal/virtual/faults.py
+++ b/gladewalk/rehearsal/virtual/faults.py
@@ -69,7 +69,7 @@
 
     async def _inject_at_server(self, fault: ScenarioFault, server: ModelServer) -> None:
         match fault.kind:
-            case ScenarioFaultKind.SILENT:
+            case ScenarioFaultKind.UNRESPONSIVE:
                 server.unresponsive_count += 1
                 await asyncio.sleep(fault.duration_s)
                 server.unresponsive_count -= 1
--- a/gladewalk/rehearsal/virtual/scenario.py
+++ b/gladewalk/rehearsal/virtual/scenario.py
@@ -43,7 +43,7 @@
 class ScenarioFaultKind(StrEnum):
     """The kinds of fault; the values are those in scenario files."""
 
-    SILENT = "silent"  # the server reads requests and responds to none
+    UNRESPONSIVE = "silent"  # the server reads requests and responds to none
     DRAIN = "drain"  # the endpoint list has the cache as draining, then as serving again
     RESTART = "restart"  # the cache stops and starts again empty
     CUT = "cut"  # no data passes to or from the server
@@ -56,7 +56,7 @@
 
 
 SERVER_FAULTS = (
-    ScenarioFaultKind.SILENT,
+    ScenarioFaultKind.UNRESPONSIVE,
     ScenarioFaultKind.DRAIN,
     ScenarioFaultKind.RESTART,
     ScenarioFaultKind.CUT,
--- a/gladewalk/rehearsal/virtual/scenario_run.py
+++ b/gladewalk/rehearsal/virtual/scenario_run.py
@@ -38,7 +38,7 @@
 
     SERVED = "served"  # with success, within the class's latency objective
     LATE = "late"  # with success, after the latency objective
-    REFUSED = "refused"  # status 429 or 503
+    REJECTED = "refused"  # status 429 or 503
     FAILED = "failed"  # any other status
     BROKEN = "broken"  # the connection ended without a complete response
     LOST = "lost"  # no response in time
@@ -50,7 +50,7 @@
         return Outcome.LOST if request.broken_at_ms is None else Outcome.BROKEN
     first = request.responses[0]
     if first.status not in SUCCESS_STATUSES:
-        return Outcome.REFUSED if first.status in RETRY_AFTER_STATUSES else Outcome.FAILED
+        return Outcome.REJECTED if first.status in RETRY_AFTER_STATUSES else Outcome.FAILED
     objective_ms = float(REQUEST_CLASSES[request.class_name]["promise_ms"])
     return Outcome.LATE if first.at_ms - request.sent_at_ms > objective_ms else Outcome.SERVED
 
--- a/gladewalk/rehearsal/write_soak.py
+++ b/gladewalk/rehearsal/write_soak.py
@@ -1,8 +1,9 @@
 """Write soak test: sends non-idempotent writes to cache servers that break their connections at random.
 
-The servers record which writes they executed. A stream tracker's outcome can prove that an attempt was never
-executed (RFC 9113, section 8.7). The same faults can be injected over HTTP/1.1, where a server can signal few
-of them: in place of a rejection it can often only drop the connection.
+The servers record which writes they executed; these records are authoritative. A stream tracker's outcome
+can prove that an attempt was never executed (RFC 9113, section 8.7). The same faults can be injected over
+HTTP/1.1, where a server can signal few of them: in place of a rejection it can often only drop the
+connection.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class Http1Fault(Enum):
-    """What an HTTP/1.1 server may do to a request, by the time at which its connection ends."""
+    """The faults of an HTTP/1.1 server, by the time at which it ends the connection."""
 
     DROP_BEFORE_EXECUTION = "before"
     DROP_AFTER_EXECUTION = "after"
