--- a/tests/test_golden_rehearsal.py
+++ b/tests/test_golden_rehearsal.py
@@ -1,4 +1,4 @@
-"""What the rehearsal kit and the fault network wrote and played at version 090a370, and do now."""
+"""Compares files, command output and runs of rehearsals and the fault network with version 090a370."""
 
 import asyncio
 import contextlib
@@ -45,17 +45,17 @@
 from gladewalk.rehearsal.virtual.scenario import encode_scenario, generate_scenario, load_scenario
 from gladewalk.rehearsal.virtual.scenario_run import run_scenario, silence_logs
 from gladewalk.rehearsal.virtual.scenario_search import find_failing_scenarios
-from tests.mutants import all_ready, change_endpoint_list
+from tests.mutants import change_endpoint_list, mark_all_ready
 
 from .golden_http2_client import Http2Client
 
 ROOT = Path(__file__).parent.parent
 GOLDEN = Path(__file__).parent / "golden"
-READY = sorted((ROOT / "scenarios").glob("*.toml"))
+SCENARIO_FILES = sorted((ROOT / "scenarios").glob("*.toml"))
 LINK_KINDS = (FaultKind.LINK, FaultKind.FLAP, FaultKind.DUPLICATE)
 NAMES = ("n0", "n1", "n2", "n3", "n4")
 FINDING_SEED = 1
-SHORT = """
+SHORT_SCENARIO = """
 seconds = 8.0
 [traffic]
 per_s = 30.0
@@ -64,7 +64,7 @@
 kind = "surge"
 amount = 2.0
 """
-SITE = """
+SITE_CONFIG = """
 upstream a { server 10.0.0.1:80; }
 server {
   listen 80;
@@ -72,12 +72,12 @@
   location /no { return 403; }
 }
 """
-ENDS = 4  # lines at the beginning and at the end of a trace
+TRACE_LINES = 4  # lines that are compared at the beginning and at the end of a trace
 WALL_TIME = re.compile(r'in [0-9.e-]+ s *|"wall_s": [0-9.e-]+')
 
 
 def hide_wall_time(found: re.Match[str]) -> str:
-    """A title is padded to its table's width: the text in place of the time takes the same room."""
+    """Replaces a wall time by a text of the same width if it is padded, as titles are to a table's width."""
     is_padded = found[0].endswith(" ")
     return "in TIME".ljust(len(found[0])) if is_padded else "in TIME"
 
@@ -86,16 +86,16 @@
     return hashlib.sha256(data).hexdigest()
 
 
-# Scenarios as the virtual kit plays them.
+# Runs of scenarios in virtual time.
 
 
-def play_ready(path: Path) -> dict[str, Any]:
-    """The trace of one scenario with seed 1: its digest, its first and last lines, and the outcomes."""
+def run_scenario_file(path: Path) -> dict[str, Any]:
+    """Returns a scenario's trace with seed 1: its digest, its first and last lines, and the outcomes."""
     silence_logs()
     lines: list[str] = []
     record_event = VirtualLoop.record_event
 
-    def noted(
+    def record_line(
         self: VirtualLoop, kind: str, number: int, here: str, there: str, piece: bytes | str = b""
     ) -> None:
         record_event(self, kind, number, here, there, piece)
@@ -103,21 +103,27 @@
         lines.append(f"{self.time():.6f} {kind} {number} {here} {there} {len(data)} {digest(data)[:16]}")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(VirtualLoop, "record_event", noted)
+        patch.setattr(VirtualLoop, "record_event", record_line)
         verdict = run_scenario(load_scenario(path, tuple(REQUEST_CLASSES)), 1)
     report = verdict.report()
     del report["wall_s"]
-    report["first"], report["last"] = lines[:ENDS], lines[: report["events"]][-ENDS:]
+    report["first"], report["last"] = lines[:TRACE_LINES], lines[: report["events"]][-TRACE_LINES:]
     return report
 
 
-def play_all_ready() -> dict[str, Any]:
+def run_all_scenario_files() -> dict[str, Any]:
     with ProcessPoolExecutor(max_workers=4) as pool:
-        return dict(zip((path.name for path in READY), pool.map(play_ready, READY), strict=True))
+        return dict(
+            zip(
+                (path.name for path in SCENARIO_FILES),
+                pool.map(run_scenario_file, SCENARIO_FILES),
+                strict=True,
+            )
+        )
 
 
-def printed(*words: str) -> list[Any]:
-    """Exit code and output of a command, without how long it took."""
+def run_command(*words: str) -> list[Any]:
+    """Returns the exit code and output of a command, without wall times."""
     done = subprocess.run(
         [sys.executable, "-m", "gladewalk", *words], cwd=Path(gladewalk.__file__).parent.parent,
         capture_output=True, text=True, timeout=120, check=False, env={**os.environ, "COLUMNS": "120"},
@@ -126,35 +132,35 @@
 
 
 def commands(folder: Path) -> dict[str, Any]:
-    (folder / "site.conf").write_text(SITE)
-    (folder / "short.toml").write_text(SHORT)
+    (folder / "site.conf").write_text(SITE_CONFIG)
+    (folder / "short.toml").write_text(SHORT_SCENARIO)
     short = str(folder / "short.toml")
     return {
-        "play": printed("play", short, "--seed", "3"),
-        "json": printed("play", short, "--seed", "3", "--json"),
-        "explain": printed("play", short, "--seed", "3", "--explain", f"{100:016x}"),
-        "explain_nobody": printed("play", short, "--seed", "3", "--explain", "nobody"),
-        "rehearse": printed("rehearse", str(folder / "site.conf"), "/a/x", "/no", "/else"),
-        "hunt": printed("hunt", "--first", "5", "--count", "1"),
+        "play": run_command("play", short, "--seed", "3"),
+        "json": run_command("play", short, "--seed", "3", "--json"),
+        "explain": run_command("play", short, "--seed", "3", "--explain", f"{100:016x}"),
+        "explain_nobody": run_command("play", short, "--seed", "3", "--explain", "nobody"),
+        "rehearse": run_command("rehearse", str(folder / "site.conf"), "/a/x", "/no", "/else"),
+        "hunt": run_command("hunt", "--first", "5", "--count", "1"),
     }
 
 
 def findings() -> list[Any]:
-    """What the search finds in a director that ignores drains, and how it shrinks it."""
+    """Returns what the search finds in a director that ignores drains: generated and minimized scenarios."""
     silence_logs()
-    found = find_failing_scenarios([FINDING_SEED], change_endpoint_list(all_ready))
+    found = find_failing_scenarios([FINDING_SEED], change_endpoint_list(mark_all_ready))
     return [
         [one.seed, one.rule, encode_scenario(one.generated), encode_scenario(one.minimized)] for one in found
     ]
 
 
-def drawn() -> list[str]:
+def generated_scenarios() -> list[str]:
     return [encode_scenario(generate_scenario(seed)) for seed in (1, 2, 3)]
 
 
-# Fault schedules, and what they do to paths.
+# Fault schedules and their effects on network paths.
 
-WRITTEN = """
+SCHEDULE = """
 [[fault]]
 at_ms = 3000
 ms = 2500.5
@@ -170,22 +176,22 @@
 """
 
 
-def plain(value: Any) -> Any:
-    """A value of any class as JSON has it, without the names of its fields."""
+def to_json_types(value: Any) -> Any:
+    """Converts a value of any class to JSON types, without field names."""
     if isinstance(value, msgspec.Struct):
-        return [plain(one) for one in msgspec.structs.astuple(value)]
+        return [to_json_types(one) for one in msgspec.structs.astuple(value)]
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
+        return [to_json_types(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, set | frozenset):
-        return sorted(plain(one) for one in value)
+        return sorted(to_json_types(one) for one in value)
     if isinstance(value, list | tuple):
-        return [plain(one) for one in value]
+        return [to_json_types(one) for one in value]
     return str(value) if isinstance(value, str) else value
 
 
 def schedules(folder: Path) -> dict[str, Any]:
     path = folder / "schedule.toml"
-    path.write_text(WRITTEN)
+    path.write_text(SCHEDULE)
     faults = [
         Fault(1_000.0 * n, 700.0, kind, ("n1", "n3"), 0.25)
         for n, kind in enumerate((*GENERATED_KINDS, *LINK_KINDS))
@@ -193,16 +199,16 @@
     return {
         "generated": [encode_schedule(generate_schedule(seed, NAMES, 30_000.0, 8)) for seed in (1, 7)],
         "generated_links": encode_schedule(generate_schedule(3, NAMES, 20_000.0, 6, LINK_KINDS)),
-        "read": plain(load_schedule(path)),
+        "read": to_json_types(load_schedule(path)),
         "written_again": encode_schedule(load_schedule(path)),
-        "pairs": [plain(affected_pairs(fault, NAMES)) for fault in faults],
-        "effects": [plain(path_effect(fault)) for fault in faults],
-        "expected_failures": plain(expected_failures(faults, NAMES, 50_000.0, 300.0)),
+        "pairs": [to_json_types(affected_pairs(fault, NAMES)) for fault in faults],
+        "effects": [to_json_types(path_effect(fault)) for fault in faults],
+        "expected_failures": to_json_types(expected_failures(faults, NAMES, 50_000.0, 300.0)),
     }
 
 
 def paths() -> dict[str, Any]:
-    """What a path draws out of one seed for each datagram."""
+    """Returns a path's draws for successive datagrams with a fixed seed."""
     rng = random.Random(9)
     effects = [
         PathEffect(loss_rate=0.2),
@@ -219,7 +225,7 @@
 
 
 def fleet_options(folder: Path) -> dict[str, Any]:
-    """The files that directors of a fleet are started with; ports counted up, relays not opened."""
+    """Returns the options of a fleet's directors; ports are counted up, and no relays are opened."""
     ports = iter(range(20_001, 21_000))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(fleet_module, "free_port", lambda: next(ports))
@@ -228,22 +234,22 @@
     return {"n1": fleet.build_options("n1", 1.25), "bare": bare.build_options("n0", 1.0)}
 
 
-# Bytes of the stand-in servers, on the virtual loop.
+# Bytes sent by the stand-in servers on the virtual loop.
 
 
-async def answer_by_path(heard: ReceivedRequest) -> None:
-    match heard.path:
+async def respond_by_path(request: ReceivedRequest) -> None:
+    match request.path:
         case "/hit":
-            await heard.respond(200, b"fish" * 20, X_Remark="mem", Made_At="1764576000123")
+            await request.respond(200, b"fish" * 20, X_Remark="mem", Made_At="1764576000123")
         case "/same":
-            await heard.respond(304, Tag="4be0")
+            await request.respond(304, Tag="4be0")
         case "/crowded":
-            await heard.respond(503, X_Shed="1")
+            await request.respond(503, X_Shed="1")
         case "/gone":
-            heard.writer.transport.abort()
+            request.writer.transport.abort()
         case _:
-            await heard.respond(
-                404, f"{heard.method} {sorted(heard.headers.items())} {heard.body!r}".encode()
+            await request.respond(
+                404, f"{request.method} {sorted(request.headers.items())} {request.body!r}".encode()
             )
 
 
@@ -252,25 +258,28 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
     writer.write_eof()
-    said = b""
+    response_bytes = b""
     try:
         while piece := await reader.read(65_536):
-            said += piece
+            response_bytes += piece
     except ConnectionError:
-        said += b"(reset)"
+        response_bytes += b"(reset)"
     writer.close()
-    return said
+    return response_bytes
 
 
 async def http1_bytes(loop: VirtualLoop) -> dict[str, Any]:
-    peer = await ScriptedServer(answer_by_path, "c7", host="10.2.0.1", boot_ms=5.0).start()
-    asked = [encode_request(path, trace="00ff") for path in ("/hit", "/same", "/crowded", "/else")]
-    asked += [encode_request("/else", "PUT", 1_500.0, b"bid", X_Batch="3"), encode_request("/gone")]
-    said = await send_and_read(peer.address, b"".join(asked))
+    http1_server = await ScriptedServer(respond_by_path, "c7", host="10.2.0.1", boot_ms=5.0).start()
+    encoded_requests = [encode_request(path, trace="00ff") for path in ("/hit", "/same", "/crowded", "/else")]
+    encoded_requests += [
+        encode_request("/else", "PUT", 1_500.0, b"bid", X_Batch="3"),
+        encode_request("/gone"),
+    ]
+    responses = await send_and_read(http1_server.address, b"".join(encoded_requests))
     coordinator = await Coordinator().start()
-    config = config_for([peer], coordinator)
+    config = config_for([http1_server], coordinator)
     coordinator.publish(evict={"shard": 3, "unix_ms": 1.5})
-    coordinator.publish_endpoints(peer)
+    coordinator.publish_endpoints(http1_server)
     follower = await asyncio.open_connection("127.0.0.1", int(coordinator.address.rpartition(":")[2]))
     follower[1].write(b"FOLLOW 1\n")
     await asyncio.sleep(1.0)
@@ -278,87 +287,91 @@
     await asyncio.sleep(1.0)
     coordinator.disconnect()
     try:
-        fed = await follower[0].read()
+        feed_data = await follower[0].read()
     except ConnectionError:
-        fed = bytes(follower[0]._buffer)  # type: ignore[attr-defined]
+        feed_data = bytes(follower[0]._buffer)  # type: ignore[attr-defined]
     return {
-        "asked": [one.decode() for one in asked], "said": said.decode(), "connections": peer.connections,
-        "heard": [[h.method, h.path, h.headers, h.body.decode()] for h in peer.received],
-        "target": peer.target(), "config": config, "follows": coordinator.followed_from, "fed": fed.decode(),
+        "asked": [one.decode() for one in encoded_requests], "said": responses.decode(),
+        "connections": http1_server.connections,
+        "heard": [[h.method, h.path, h.headers, h.body.decode()] for h in http1_server.received],
+        "target": http1_server.target(), "config": config, "follows": coordinator.followed_from,
+        "fed": feed_data.decode(),
     }  # fmt: skip
 
 
-def answer_http2(asked: Http2Request) -> None:
-    match asked.path:
+def respond_over_http2(http2_request: Http2Request) -> None:
+    match http2_request.path:
         case "/hit":
-            asked.respond(200, b"fish" * 9_000, tag="77")
+            http2_request.respond(200, b"fish" * 9_000, tag="77")
         case "/same":
-            asked.respond(304)
+            http2_request.respond(304)
         case "/reset":
-            asked.reset(8)
+            http2_request.reset(8)
         case "/go":
-            asked.connection.send_goaway(asked.connection.last_processed_id)
-            asked.respond(503, may_process=False, x_shed="1")
+            http2_request.connection.send_goaway(http2_request.connection.last_processed_id)
+            http2_request.respond(503, may_process=False, x_shed="1")
         case "/settings":
-            asked.connection.update_settings(max_concurrent_streams=7)
-            asked.respond(200, asked.body)
+            http2_request.connection.update_settings(max_concurrent_streams=7)
+            http2_request.respond(200, http2_request.body)
         case _:
-            asked.send_headers(404, 2)
-            asked.connection.send_body(asked, b"no", True)
+            http2_request.send_headers(404, 2)
+            http2_request.connection.send_body(http2_request, b"no", True)
 
 
 async def http2_bytes(loop: VirtualLoop) -> dict[str, Any]:
-    box = await ScriptedHttp2Server(answer_http2, "c8", host="10.2.0.2", max_concurrent_streams=9).start()
-    host, _, port = box.address.rpartition(":")
+    http2_server = await ScriptedHttp2Server(
+        respond_over_http2, "c8", host="10.2.0.2", max_concurrent_streams=9
+    ).start()
+    host, _, port = http2_server.address.rpartition(":")
     _, client = await loop.create_connection(Http2Client, host, int(port))
     assert isinstance(client, Http2Client)
     await asyncio.sleep(1.0)
     for number, path in enumerate(("/hit", "/same", "/reset", "/settings", "/else", "/go")):
         client.send_request(f"t{number}", path, b"bid" if path == "/settings" else b"")
         await asyncio.sleep(1.0)
-    box.stop()
+    http2_server.stop()
     await asyncio.sleep(1.0)
     return {
         "said": [len(client.received_data), digest(client.received_data), client.received_data[:100].hex()],
-        "target": box.target(),
-        "ran": box.process_counts(),
-        "heard": [[a.method, a.path, a.ticket, a.body.decode()] for a in box.received],
+        "target": http2_server.target(),
+        "ran": http2_server.process_counts(),
+        "heard": [[a.method, a.path, a.ticket, a.body.decode()] for a in http2_server.received],
         "counts": [
-            box.connections,
-            box.max_connections,
-            box.max_streams,
-            box.streams_over_limit,
-            box.resets_received,
+            http2_server.connections,
+            http2_server.max_connections,
+            http2_server.max_streams,
+            http2_server.streams_over_limit,
+            http2_server.resets_received,
         ],
-        "breaches": box.protocol_errors,
+        "breaches": http2_server.protocol_errors,
     }
 
 
 async def broken_bytes(loop: VirtualLoop) -> dict[str, Any]:
-    """A box that breaks connections by its seed; the client takes a new one whenever its own is over."""
-    breaker = Http2FaultScript(4, 0.4)
-    box = await ScriptedHttp2Server(breaker, "c9", host="10.2.0.3").start()
-    host, _, port = box.address.rpartition(":")
-    client, said = Http2Client(), hashlib.sha256()
+    """Runs a server that breaks connections by its seed; the client reconnects after each break."""
+    fault_script = Http2FaultScript(4, 0.4)
+    http2_server = await ScriptedHttp2Server(fault_script, "c9", host="10.2.0.3").start()
+    host, _, port = http2_server.address.rpartition(":")
+    client, received_hash = Http2Client(), hashlib.sha256()
     client.is_closed = True
     for number in range(120):
         if client.is_closed:
-            said.update(client.received_data)
+            received_hash.update(client.received_data)
             client = Http2Client()
             await loop.create_connection(lambda client=client: client, host, int(port))  # type: ignore[misc]
             await asyncio.sleep(0.01)
-        with contextlib.suppress(ProtocolError):  # no stream is to be had now
+        with contextlib.suppress(ProtocolError):  # the connection allows no new stream now
             client.send_request(f"t{number}", "/a", b"bid" if number % 3 == 0 else b"")
         await asyncio.sleep(0.003)
     await asyncio.sleep(1.0)
-    said.update(client.received_data)
+    received_hash.update(client.received_data)
     return {
-        "said": said.hexdigest(),
-        "met": breaker.fault_counts,
-        "shed": breaker.shed_tickets,
-        "ran": box.process_counts(),
-        "connections": box.connections,
-        "resets": box.resets_received,
+        "said": received_hash.hexdigest(),
+        "met": fault_script.fault_counts,
+        "shed": fault_script.shed_tickets,
+        "ran": http2_server.process_counts(),
+        "connections": http2_server.connections,
+        "resets": http2_server.resets_received,
     }
 
 
@@ -367,14 +380,15 @@
 
 
 CAPTURES: dict[str, Callable[[Path], Any]] = {
-    "ready": lambda folder: play_all_ready(), "commands": commands,
-    "findings": lambda folder: findings(), "drawn": lambda folder: drawn(), "schedules": schedules,
+    "ready": lambda folder: run_all_scenario_files(), "commands": commands,
+    "findings": lambda folder: findings(), "drawn": lambda folder: generated_scenarios(),
+    "schedules": schedules,
     "paths": lambda folder: paths(), "fleet": fleet_options, "servers": lambda folder: servers(),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("part", CAPTURES)
-def test_what_was_written_and_played_is_written_and_played_alike(part: str, tmp_path: Path) -> None:
+def test_files_commands_and_runs_are_as_recorded(part: str, tmp_path: Path) -> None:
     golden = json.loads((GOLDEN / "rehearsal.json").read_text(encoding="utf-8"))
     now = json.loads(json.dumps(CAPTURES[part](tmp_path)))
     assert now == golden[part]
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""The rehearsal kit: scenarios, its rules against broken directors, search and minimization."""
+"""Virtual rehearsals: scenarios, rules checked against broken directors, search and minimization."""
 
 import os
 import subprocess
@@ -34,16 +34,16 @@
 )
 from gladewalk.rehearsal.virtual.scenario_run import run_scenario, silence_logs
 from gladewalk.rehearsal.virtual.scenario_search import find_failing_scenarios, minimize
-from tests.mutants import DRAIN, MUTANTS, all_ready, build_scenario, change_endpoint_list
+from tests.mutants import DRAIN_FAULTS, MUTANTS, build_scenario, change_endpoint_list, mark_all_ready
 
 ROOT = Path(__file__).parent.parent
-READY = sorted((ROOT / "scenarios").glob("*.toml"))
+SCENARIO_FILES = sorted((ROOT / "scenarios").glob("*.toml"))
 SEEDS = (1, 2)
 CLASS_NAMES = tuple(REQUEST_CLASSES)
 GENERATED_SEEDS = range(1, 49)
 
 
-def rules_broken_by_mutant(number: int, seed: int) -> set[str]:
+def rules_violated_by_mutant(number: int, seed: int) -> set[str]:
     silence_logs()
     mutant = MUTANTS[number]
     return {
@@ -51,8 +51,8 @@
     }
 
 
-def rules_broken_by_director(number: int, seed: int) -> set[str]:
-    """Rules that the unchanged director breaks in the mutant's scenario."""
+def rules_violated_by_director(number: int, seed: int) -> set[str]:
+    """Returns the rules that the unchanged director violates in the mutant's scenario."""
     silence_logs()
     return {one.rule for one in run_scenario(MUTANTS[number].scenario, seed).violations}
 
@@ -62,7 +62,7 @@
     return [f"{seed}: {one}" for one in run_scenario(generate_scenario(seed), seed).violations]
 
 
-def violations_of_ready(path: Path) -> list[str]:
+def violations_of_file(path: Path) -> list[str]:
     silence_logs()
     verdict = run_scenario(load_scenario(path, CLASS_NAMES), 1)
     outcome_count = sum(counts.total() for counts in verdict.outcomes.values())
@@ -70,39 +70,47 @@
     return [f"{path.name}: {one}" for one in verdict.violations]
 
 
-def test_every_broken_director_is_failed_by_its_rule_and_the_unbroken_one_by_none() -> None:
+def test_each_mutant_violates_its_rule_and_the_unchanged_director_violates_none() -> None:
     runs = [(number, seed) for number in range(len(MUTANTS)) for seed in SEEDS]
     with ProcessPoolExecutor(max_workers=8) as pool:
-        broken = pool.map(rules_broken_by_mutant, *zip(*runs, strict=True))
-        unbroken = pool.map(rules_broken_by_director, *zip(*runs, strict=True))
+        mutant_rules = pool.map(rules_violated_by_mutant, *zip(*runs, strict=True))
+        unchanged_rules = pool.map(rules_violated_by_director, *zip(*runs, strict=True))
         survivors = [
             (MUTANTS[number].name, seed, rules)
-            for (number, seed), rules in zip(runs, broken, strict=True)
+            for (number, seed), rules in zip(runs, mutant_rules, strict=True)
             if MUTANTS[number].rule not in rules
         ]
-        false_alarms = [(run, rules) for run, rules in zip(runs, unbroken, strict=True) if rules]
+        false_alarms = [(run, rules) for run, rules in zip(runs, unchanged_rules, strict=True) if rules]
     assert survivors == [] and false_alarms == []
 
 
-def test_the_director_as_it_is_passes_every_ready_scenario_and_drawn_ones() -> None:
-    assert len(READY) >= 12
+def test_the_unchanged_director_passes_all_scenario_files_and_generated_scenarios() -> None:
+    assert len(SCENARIO_FILES) >= 12
     with ProcessPoolExecutor(max_workers=8) as pool:
-        assert [one for some in pool.map(violations_of_ready, READY) for one in some] == []
-        assert [one for some in pool.map(violations_of_generated, GENERATED_SEEDS) for one in some] == []
+        assert [
+            one for run_violations in pool.map(violations_of_file, SCENARIO_FILES) for one in run_violations
+        ] == []
+        assert [
+            one
+            for run_violations in pool.map(violations_of_generated, GENERATED_SEEDS)
+            for one in run_violations
+        ] == []
 
 
-def test_a_failing_scenario_is_minimized_to_the_fault_that_it_needs() -> None:
+def test_a_failing_scenario_is_minimized_to_the_fault_that_causes_the_violation() -> None:
     silence_logs()
-    more = [
+    faults_to_minimize = [
         ScenarioFault(at_s=2.0, kind=ScenarioFaultKind.SLOW, duration_s=3.0, target="store", amount=2.0),
-        ScenarioFault(at_s=4.0, kind=ScenarioFaultKind.SILENT, duration_s=3.0, target="hub-0"),
-        DRAIN[0],
+        ScenarioFault(at_s=4.0, kind=ScenarioFaultKind.UNRESPONSIVE, duration_s=3.0, target="hub-0"),
+        DRAIN_FAULTS[0],
     ]
-    least = minimize(build_scenario(more), 1, "drains kept", change_endpoint_list(all_ready))
-    assert [fault.kind for fault in least.faults] == [ScenarioFaultKind.DRAIN]
-    assert least.faults[0].duration_s < DRAIN[0].duration_s
+    minimal = minimize(
+        build_scenario(faults_to_minimize), 1, "drains kept", change_endpoint_list(mark_all_ready)
+    )
+    assert [fault.kind for fault in minimal.faults] == [ScenarioFaultKind.DRAIN]
+    assert minimal.faults[0].duration_s < DRAIN_FAULTS[0].duration_s
     seed = next(number for number in range(100) if count_drains(generate_scenario(number)) == 1)
-    findings = find_failing_scenarios([seed], change_endpoint_list(all_ready))
+    findings = find_failing_scenarios([seed], change_endpoint_list(mark_all_ready))
     assert [(one.seed, one.rule) for one in findings] == [(seed, "drains kept")]
     assert [fault.kind for fault in findings[0].minimized.faults] == [ScenarioFaultKind.DRAIN]
 
@@ -126,7 +134,7 @@
         ("seconds = = 1\n", "Invalid value"),
     ],
 )
-def test_a_scenario_that_cannot_be_played_is_one_line_naming_its_key(
+def test_an_invalid_scenario_is_reported_in_one_line_with_its_key(
     text: str, reason: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "s.toml"
@@ -136,7 +144,7 @@
     assert str(raised.value).startswith(f"{path}: {reason}"), raised.value
 
 
-def test_a_generated_scenario_can_be_written_read_and_played(tmp_path: Path) -> None:
+def test_a_generated_scenario_is_valid_and_can_be_written_and_read_again(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     for seed in range(200):
         path.write_text(encode_scenario(generate_scenario(seed)))
@@ -146,24 +154,24 @@
     assert msgspec.structs.replace(first, duration_s=30.0) == first != generate_scenario(2)
 
 
-def test_the_command_line_plays_explains_and_tells_by_its_exit_code(tmp_path: Path) -> None:
+def test_the_play_command_prints_a_verdict_or_an_explanation_and_sets_its_exit_code(tmp_path: Path) -> None:
     path = tmp_path / "short.toml"
     path.write_text("seconds = 5.0\n[traffic]\nper_s = 10.0\n")
-    code, said = run_command("play", str(path), "--seed", "4")
-    assert code == 0 and "no rule broken" in said and "lot-video" in said, said
-    first, again = (run_command("play", str(path), "--seed", "4", "--json") for _ in range(2))
-    assert msgspec.json.decode(first[1])["trace"] == msgspec.json.decode(again[1])["trace"]
-    code, said = run_command("play", str(path), "--seed", "4", "--explain", f"{1:016x}")
-    assert code == 0 and "asked of director-" in said and "answered 200" in said, said
+    code, output = run_command("play", str(path), "--seed", "4")
+    assert code == 0 and "no rule broken" in output and "lot-video" in output, output
+    first, second = (run_command("play", str(path), "--seed", "4", "--json") for _ in range(2))
+    assert msgspec.json.decode(first[1])["trace"] == msgspec.json.decode(second[1])["trace"]
+    code, output = run_command("play", str(path), "--seed", "4", "--explain", f"{1:016x}")
+    assert code == 0 and "asked of director-" in output and "answered 200" in output, output
     path.write_text("seconds = -1.0\n")
-    code, said = run_command("play", str(path))
-    assert code == 2 and said.startswith(f"gladewalk: {path}: seconds: "), said
+    code, output = run_command("play", str(path))
+    assert code == 2 and output.startswith(f"gladewalk: {path}: seconds: "), output
 
 
-def run_command(*words: str) -> tuple[int, str]:
-    """Exit code and output of a command."""
-    done = subprocess.run(
-        [sys.executable, "-m", "gladewalk", *words],
+def run_command(*arguments: str) -> tuple[int, str]:
+    """Runs a command and returns its exit code and output."""
+    completed = subprocess.run(
+        [sys.executable, "-m", "gladewalk", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -171,20 +179,21 @@
         check=False,
         env={**os.environ, "COLUMNS": "120"},
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def observed_request(request_id: str, **more: object) -> ObservedRequest:
-    return ObservedRequest(request_id, "lot-page", "a", 0, 7, "n1", 0.0, 1_000.0, **more)  # type: ignore[arg-type]
+def observed_request(request_id: str, **extra: object) -> ObservedRequest:
+    return ObservedRequest(request_id, "lot-page", "a", 0, 7, "n1", 0.0, 1_000.0, **extra)  # type: ignore[arg-type]
 
 
-def test_each_rule_finds_what_it_is_for_in_a_history_written_by_hand() -> None:
+def test_each_rule_finds_its_violations_in_a_constructed_history() -> None:
     requests = (
         observed_request(
             "twice", responses=[ObservedResponse(5.0, 200, b"x"), ObservedResponse(6.0, 200, b"x")]
         ),
         observed_request("never"),
-        observed_request("torn", broken_at_ms=5.0, has_response_begun=True),  # failed, as its client can tell
+        # Not a violation: the response had begun, so the client can see that it failed.
+        observed_request("torn", broken_at_ms=5.0, has_response_begun=True),
         observed_request("shut", broken_at_ms=5.0),
         observed_request("old", responses=[ObservedResponse(3_000.0, 200, b"old")]),
         observed_request("bare", responses=[ObservedResponse(5.0, 503, b"")]),
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual event loop and its streams; the director on it with stand-in servers and clients in memory."""
+"""The virtual event loop and its streams, and a director running on it with stand-in servers and clients."""
 
 import asyncio
 import hashlib
@@ -36,19 +36,19 @@
 # The loop and its streams.
 
 
-def test_hours_take_no_time_and_timers_come_in_their_order() -> None:
+def test_virtual_hours_pass_quickly_and_timers_fire_in_order() -> None:
     async def work(loop: VirtualLoop) -> list[float]:
-        came: list[float] = []
+        fired: list[float] = []
         for hours in (3.0, 1.0, 2.0):
-            loop.call_later(hours * 3600.0, lambda hours=hours: came.append(hours))  # type: ignore[misc]
+            loop.call_later(hours * 3600.0, lambda hours=hours: fired.append(hours))  # type: ignore[misc]
         await asyncio.sleep(4 * 3600.0)
-        return [*came, loop.unix_ms() - loop.environment().clock(), loop.time()]
+        return [*fired, loop.unix_ms() - loop.environment().clock(), loop.time()]
 
-    began = time.monotonic()
-    assert run(work) == [1.0, 2.0, 3.0, 0.0, 4 * 3600.0] and time.monotonic() - began < 60.0
+    started_s = time.monotonic()
+    assert run(work) == [1.0, 2.0, 3.0, 0.0, 4 * 3600.0] and time.monotonic() - started_s < 60.0
 
 
-def test_who_waits_for_what_never_comes_is_told_so() -> None:
+def test_waiting_for_an_event_that_cannot_happen_raises_deadlock_error() -> None:
     async def work(loop: VirtualLoop) -> None:
         await loop.create_future()
 
@@ -56,7 +56,7 @@
         run_virtually(1, work)
 
 
-def test_bytes_come_whole_and_in_order_in_pieces_and_an_end_comes_after_them() -> None:
+def test_bytes_arrive_complete_and_in_order_in_pieces_and_eof_arrives_after_them() -> None:
     async def work(loop: VirtualLoop) -> tuple[bytes, int]:
         pieces: list[bytes] = []
 
@@ -72,7 +72,7 @@
             writer.write(bytes([number]) * 50)
             await asyncio.sleep(0.002)
         writer.write_eof()
-        assert await reader.read() == b"thanks"  # half-closed: it still hears
+        assert await reader.read() == b"thanks"  # the connection is half-closed: the client can still receive
         return b"".join(pieces), len(pieces)
 
     whole, pieces = run(work)
@@ -80,7 +80,7 @@
     assert pieces > 200 * (1 + SPLIT_PROBABILITY / 2)
 
 
-def test_a_reader_that_stalls_holds_its_writer_back_and_a_reset_reaches_both() -> None:
+def test_a_stalled_reader_pauses_its_writer_and_an_abort_resets_the_connection() -> None:
     async def work(loop: VirtualLoop) -> tuple[bool, str, str]:
         served: list[str] = []
 
@@ -96,20 +96,20 @@
         try:
             async with asyncio.timeout(2.0):
                 await writer.drain()
-            held = False
+            is_paused = False
         except TimeoutError:
-            held = True
+            is_paused = True
         try:
             await reader.read()
             end = "closed"
         except ConnectionResetError:
             end = "reset"
-        return held, end, served[0]
+        return is_paused, end, served[0]
 
     assert run(work) == (True, "reset", "read late")
 
 
-def test_nobody_at_an_address_refuses_and_a_cut_path_keeps_waiting_until_it_is_whole() -> None:
+def test_a_connect_is_refused_without_a_listener_and_waits_while_the_path_is_cut() -> None:
     async def work(loop: VirtualLoop) -> tuple[str, str, float]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"here")
@@ -117,40 +117,41 @@
         async def listen() -> None:
             await asyncio.start_server(serve, "10.0.0.1", 7)
 
-        async def come(port: int) -> bytes:
+        async def connect(port: int) -> bytes:
             reader, _ = await asyncio.open_connection("10.0.0.1", port)
             return await reader.readexactly(4)
 
-        await loop.run_as("box", listen())
+        await loop.run_as("cache", listen())
         try:
-            await loop.run_as("n1", come(8))
-            nobody = "answered"
+            await loop.run_as("n1", connect(8))
+            without_listener = "connected"
         except ConnectionRefusedError:
-            nobody = "refused"
-        loop.network.cut_counts["n1", "box"] += 1
+            without_listener = "refused"
+        loop.network.cut_counts["n1", "cache"] += 1
         try:
             async with asyncio.timeout(0.4):
-                await loop.run_as("n1", come(7))
-            dark = "answered"
+                await loop.run_as("n1", connect(7))
+            over_cut_path = "connected"
         except TimeoutError:
-            dark = "silent"
-        began = loop.time()
+            over_cut_path = "waiting"
+        started_s = loop.time()
         loop.call_later(3.0, lambda: loop.network.cut_counts.clear())
-        await loop.run_as("n1", come(7))
-        return nobody, dark, loop.time() - began
+        await loop.run_as("n1", connect(7))
+        return without_listener, over_cut_path, loop.time() - started_s
 
-    nobody, dark, took_s = run(work)
-    assert (nobody, dark) == ("refused", "silent") and 3.0 <= took_s < 5.0
+    without_listener, over_cut_path, took_s = run(work)
+    assert (without_listener, over_cut_path) == ("refused", "waiting") and 3.0 <= took_s < 5.0
 
 
-# The director on it.
+# A director on the virtual loop.
 
-SILENT_FROM, SILENT_UNTIL = 200, 300  # requests between which one cache's answers do not arrive
+# Between these numbers of requests, the responses of one cache do not arrive.
+UNRESPONSIVE_FROM, UNRESPONSIVE_UNTIL = 200, 300
 
 
 @dataclass(frozen=True)
 class TrafficResult:
-    """What clients, caches and the director counted; a status of 0 is a wrong body, -1 no response."""
+    """Counts of clients, caches and the director; status 0 stands for a wrong body, -1 for no response."""
 
     statuses: dict[int, int]
     served: dict[str, int]
@@ -159,17 +160,19 @@
 
 
 async def serve_traffic(loop: VirtualLoop, count: int = 600, per_s: float = 30.0) -> TrafficResult:
-    """A director, three caches of which one falls silent for a while, clients with a request each."""
+    """Runs a director, three caches, one of them unresponsive for a while, and clients with one request each."""
     served: Counter[str] = Counter()
 
-    async def answer(request: ReceivedRequest) -> None:
+    async def respond_after_delay(request: ReceivedRequest) -> None:
         served[request.server.uid] += 1
         await asyncio.sleep(loop.random.uniform(0.005, 0.05))
         await request.respond(200, BODY, X_Remark="mem")
 
     coordinator = Coordinator()
     await loop.run_as("coordinator", coordinator.start())
-    caches = [ScriptedServer(answer, uid=f"c{number}", host=f"10.2.0.{number}") for number in range(3)]
+    caches = [
+        ScriptedServer(respond_after_delay, uid=f"c{number}", host=f"10.2.0.{number}") for number in range(3)
+    ]
     for cache in caches:
         await loop.run_as(cache.uid, cache.start())
     config = read_config({**config_for(caches, coordinator, SETTINGS), "listen": "10.1.0.1:7001"}, {})
@@ -180,9 +183,9 @@
     for number in range(count):
         clients.append(loop.run_as("client", send_request(number, statuses)))
         await asyncio.sleep(loop.random.expovariate(per_s))
-        if number == SILENT_FROM:
+        if number == UNRESPONSIVE_FROM:
             loop.network.cut_counts["c1", "n1"] += 1
-        if number == SILENT_UNTIL:
+        if number == UNRESPONSIVE_UNTIL:
             loop.network.cut_counts["c1", "n1"] -= 1
     await asyncio.gather(*clients)
     counters = {name: value for name, value in director.counters.report().items() if "." in name}
@@ -196,38 +199,38 @@
     writer.write(encode_request(f"/invoke/lot-page/a{number % 50:x}?nth=0", trace=f"{number:016x}"))
     try:
         response = await read_message(reader)
-        is_right = response.status != 200 or response.body == BODY
-        statuses[response.status if is_right else 0] += 1
+        is_correct = response.status != 200 or response.body == BODY
+        statuses[response.status if is_correct else 0] += 1
     except (asyncio.IncompleteReadError, ConnectionError):
         statuses[-1] += 1
     writer.close()
 
 
-def test_the_real_director_serves_a_virtual_run_and_counts_what_its_clients_saw() -> None:
+def test_a_director_in_virtual_time_counts_the_same_outcomes_as_its_clients() -> None:
     result = run(serve_traffic, 3)
     statuses, served, counters = result.statuses, result.served, result.counters
-    assert set(statuses) == {200, 503}, statuses  # no wrong body, no connection without a response
+    assert set(statuses) == {200, 503}, statuses  # neither a wrong body nor a connection without a response
     assert sum(statuses.values()) == 600, statuses
     assert statuses[200] == counters["downstream_requests.lot-page.completed"] > 450
-    assert statuses[503] == counters["downstream_requests.lot-page.rejected"]  # while a cache is silent
+    assert statuses[503] == counters["downstream_requests.lot-page.rejected"]  # while a cache is unresponsive
     assert counters["attempts.written"] == sum(served.values()) > counters["attempts.ok"]
-    assert 0 < served["c1"] < min(served["c0"], served["c2"])  # it was bypassed
+    assert 0 < served["c1"] < min(served["c0"], served["c2"])  # the unresponsive cache got fewer requests
 
 
 SCRIPT = "from tests.test_virtual import describe_run; print(describe_run(5))"
 
 
 def describe_run(seed: int) -> str:
-    """The trace of a run and a digest of its result."""
+    """Returns the trace of a run and a digest of its result."""
     result, loop = run_virtually(seed, serve_traffic)
     return f"{loop.trace()} {loop.event_count} {hashlib.sha256(repr(result).encode()).hexdigest()}"
 
 
-def test_a_seed_gives_one_trace_in_this_process_and_in_others_and_another_seed_another() -> None:
+def test_a_seed_gives_the_same_trace_in_every_process_and_another_seed_a_different_one() -> None:
     here = describe_run(5)
     assert here == describe_run(5) and here != describe_run(6)
-    for hash_seed in ("0", "1"):  # each gives sets of strings another order
-        done = subprocess.run(
+    for hash_seed in ("0", "1"):  # each gives sets of strings a different order
+        completed = subprocess.run(
             [sys.executable, "-c", SCRIPT],
             cwd=Path(__file__).parent.parent,
             capture_output=True,
@@ -236,4 +239,4 @@
             check=True,
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
         )
-        assert done.stdout.splitlines()[-1] == here
+        assert completed.stdout.splitlines()[-1] == here
