--- a/gladewalk/rehearsal/coordinator.py
+++ b/gladewalk/rehearsal/coordinator.py
@@ -15,9 +15,7 @@
     """Sends each follower the events published so far, and later ones as they are published."""
 
     events: list[dict[str, Any]] = field(default_factory=list)
-    followed_from: list[int] = field(
-        default_factory=list
-    )  # the last index that each follower sent, in order of connection
+    followed_from: list[int] = field(default_factory=list)  # last index of each follower, by connection order
     address: str = ""
     _writers: list[asyncio.StreamWriter] = field(default_factory=list)
     _server: asyncio.Server | None = None
@@ -63,7 +61,5 @@
             await self.responses_allowed.wait()
         for event in self.events[last_index:]:
             writer.write(json.dumps(event).encode() + b"\n")
-        writer.write(
-            b"%d\n" % len(self.events)
-        )  # a heartbeat: the last index, which the platform also sends each second
+        writer.write(b"%d\n" % len(self.events))  # the last index; the platform also sends it every second
         self._writers.append(writer)
--- a/gladewalk/rehearsal/faulty_disk.py
+++ b/gladewalk/rehearsal/faulty_disk.py
@@ -37,9 +37,8 @@
             durable = self.durable[start:end]
             if bytes(kept[start:end]) != durable and rng.random() < LOSS_PROBABILITY:
                 kept[start:end] = durable + bytes(end - start - len(durable))
-        if (
-            rng.random() < LOSS_PROBABILITY
-        ):  # the file's new length was not written, or only an intermediate one
+        # The file's new length was not written, or only an intermediate one.
+        if rng.random() < LOSS_PROBABILITY:
             min_length = len(self.durable)
             length = rng.randint(min(min_length, len(kept)), max(min_length, len(kept)))
             kept = kept[: max(min_length, length)]
--- a/gladewalk/rehearsal/http2_fault_script.py
+++ b/gladewalk/rehearsal/http2_fault_script.py
@@ -70,9 +70,8 @@
         if self._rng.random() < IMMEDIATE_RESPONSE_RATE:
             request.respond(200, self._body)
             return
-        request.connection.note_processing(
-            request.stream_id
-        )  # a GOAWAY sent before the response must cover this stream
+        # A GOAWAY sent before the response must include this stream.
+        request.connection.note_processing(request.stream_id)
         self._later(lambda: self._respond_if_open(request))
 
     def _respond_if_open(self, request: Http2Request) -> None:
--- a/gladewalk/rehearsal/member_network.py
+++ b/gladewalk/rehearsal/member_network.py
@@ -312,13 +312,9 @@
             if outcome is ProbeOutcome.RESPONDED:
                 self._count(node, probe.message)
                 clock_difference_ms = abs(node.clock_offset_ms - target.clock_offset_ms)
-                if (
-                    clock_difference_ms > node.authenticator.window_ms
-                ):  # neither node accepts the other's messages
-                    outcome, now_ms = (
-                        ProbeOutcome.UNREACHABLE,
-                        self.now_ms,
-                    )  # in real time, not on the node's clock
+                # Neither node accepts the other's messages; the outcome is reported with the real time.
+                if clock_difference_ms > node.authenticator.window_ms:
+                    outcome, now_ms = ProbeOutcome.UNREACHABLE, self.now_ms
                 else:
                     self._complete_probe(node, target, probe)
         self.carry_out(node, node.core.on_probe_outcome(probe.name, probe.run_id, outcome, now_ms))
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -160,7 +160,7 @@
 
 
 async def serve_traffic(loop: VirtualLoop, count: int = 600, per_s: float = 30.0) -> TrafficResult:
-    """Runs a director, three caches, one of them unresponsive for a while, and clients with one request each."""
+    """Runs a director, three caches, one of them unresponsive for a time, and clients with a request each."""
     served: Counter[str] = Counter()
 
     async def respond_after_delay(request: ReceivedRequest) -> None:
