--- a/benchmarks/known_red.py
+++ b/benchmarks/known_red.py
@@ -1,7 +1,7 @@
-"""Reads KNOWN-RED.txt: tests and cases of the soak that fail for a real fault that is open.
+"""Reads KNOWN-RED.txt: tests and cases of the soak that fail because of a real fault not yet fixed.
 
-One entry a line, "case | command and seed | what was seen | issue". A case is the id of a test as pytest
-prints it, or `soak RULE SEED`, a rule of the soak's checker that a seed breaks.
+Each line is one entry, "case | command and seed | what was seen | issue". A case is the id of a test as
+pytest prints it, or `soak RULE SEED`: a rule of the soak's checker that the run of this seed breaks.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class KnownRedError(GladewalkError, ValueError):
-    """A line of the list is not in its form, or stands there twice."""
+    """A line of the list is malformed, or a case is listed twice."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     """Returns the entries by their cases.
 
     Raises:
-        KnownRedError: A line is not of the form, or a case is listed twice.
+        KnownRedError: A line is malformed, or a case is listed twice.
     """
     known: dict[str, KnownRed] = {}
     for line in text.splitlines():
@@ -42,10 +42,10 @@
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != FORM.count("|") + 1 or not all(fields):
-            raise KnownRedError(f"KNOWN-RED.txt: not '{FORM}': {line}")
+            raise KnownRedError(f"KNOWN-RED.txt: line is not of the form '{FORM}': {line}")
         entry = KnownRed(*fields)
         if entry.case in known:
-            raise KnownRedError(f"KNOWN-RED.txt: listed twice: {entry.case}")
+            raise KnownRedError(f"KNOWN-RED.txt: case is listed twice: {entry.case}")
         known[entry.case] = entry
     return known
 
@@ -56,10 +56,10 @@
 
 
 def soak_case(rule: str, seed: int) -> str:
-    """Returns the case of a rule that a seed of the soak breaks."""
+    """Returns the name of the case in which a seed of the soak breaks a rule."""
     return f"{SOAK} {rule} {seed}"
 
 
 def format_outcome(entry: KnownRed, outcome: str) -> str:
-    """Returns the line that tells what a listed case did this time."""
+    """Returns the line that reports the outcome of a listed case."""
     return f"KNOWN-RED {outcome}: {entry.case} | {entry.command} | {entry.seen} | issue {entry.issue}"
--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of directors as real processes: drawn deployments and faults, judged by a checker of its own."""
+"""A soak test of directors as real processes: random deployments and faults, and an independent checker."""
--- a/benchmarks/soak/broken_director.py
+++ b/benchmarks/soak/broken_director.py
@@ -1,4 +1,4 @@
-"""Directors with one rule taken out, by name: the soak must fail each of them."""
+"""Changes that each make a director break one rule, by name; the soak must fail each of them."""
 
 from __future__ import annotations
 
@@ -18,84 +18,84 @@
 from gladewalk.upstream import http1, protocol_fields
 from gladewalk.upstream.reuse_delay import ReuseDelay
 
-LATE_ANSWER_S = 1.5
+LATE_RESPONSE_S = 1.5
 EXTRA_WAIT_MS = 1_000
 LAST_BODIES: dict[int, bytes] = {}
 
 
 def cut_broken_responses() -> None:
-    """A response that breaks off ends its client's connection, as if it had been passed on."""
-    take = Exchange._take_response
+    """A cache's response that is cut off also ends the client's connection, as if it had been forwarded."""
+    take_response = Exchange._take_response
 
-    def take_or_cut(self: Exchange, attempt: Attempt, status: api.Status) -> None:
+    def take_response_or_cut(self: Exchange, attempt: Attempt, status: api.Status) -> None:
         opened, has_begun = attempt.open_request, attempt.response is not None
-        take(self, attempt, status)
+        take_response(self, attempt, status)
         if has_begun and not opened.is_answered:
             self._close(opened)
             assert isinstance(opened.client, ClientConnection)
             opened.client.open_number = None
             opened.client.abort("broken")
 
-    _replace(Exchange, "_take_response", take_or_cut)
+    _patch(Exchange, "_take_response", take_response_or_cut)
 
 
 def forget_deadlines() -> None:
-    """No request is ended at its deadline."""
+    """Requests do not end at their deadlines."""
 
     def do_nothing(self: Exchange, opened: OpenRequest) -> None:
         return None
 
-    _replace(Exchange, "_request_timed_out", do_nothing)
+    _patch(Exchange, "_request_timed_out", do_nothing)
 
 
 def delay_failures() -> None:
-    """Failures are sent long after their time."""
+    """Failures are sent 1.5 s late."""
     send = ClientConnection.send_final
 
-    def send_late(self: ClientConnection, final: FinalAnswer, retry_after_ms: float) -> None:
-        asyncio.get_running_loop().call_later(LATE_ANSWER_S, send, self, final, retry_after_ms)
+    def send_delayed(self: ClientConnection, final: FinalAnswer, retry_after_ms: float) -> None:
+        asyncio.get_running_loop().call_later(LATE_RESPONSE_S, send, self, final, retry_after_ms)
 
-    _replace(ClientConnection, "send_final", send_late)
+    _patch(ClientConnection, "send_final", send_delayed)
 
 
 def resend_writes() -> None:
-    """Every request counts as harmless to send again."""
-    _replace(RetryPolicy, "is_harmless", lambda self, pending, after_ms=0.0: True)
+    """The director retries requests that may already have been executed."""
+    _patch(RetryPolicy, "is_harmless", lambda self, pending, after_ms=0.0: True)
 
 
 def reject_writes_that_ran() -> None:
-    """Clients are told to try again whatever may have run."""
-    _replace(RetryPolicy, "is_client_retry_harmless", lambda self, pending, after_ms=0.0: True)
+    """Clients are told to retry requests that may already have been executed."""
+    _patch(RetryPolicy, "is_client_retry_harmless", lambda self, pending, after_ms=0.0: True)
 
 
 def serve_departed_clients() -> None:
-    """A client's end is not noticed, and its request is retried until it would be answered."""
-    _replace(Exchange, "client_disconnected", lambda self, number: None)
-    _replace(ClientConnection, "is_disconnected", lambda self: False)
+    """The end of a client's connection is ignored, and its request is still retried."""
+    _patch(Exchange, "client_disconnected", lambda self, number: None)
+    _patch(ClientConnection, "is_disconnected", lambda self: False)
 
 
 def swap_bodies() -> None:
-    """A client gets the body of the response before."""
+    """A client gets the body of the previous response."""
     send = ClientConnection.send_response
 
-    def send_other(
+    def send_previous_body(
         self: ClientConnection, head: ResponseHead, body: bytes, on_sent: Callable[[], None]
     ) -> None:
-        before, LAST_BODIES[0] = LAST_BODIES.get(0, body), body
-        send(self, ResponseHead(head.is_not_modified, len(before), head.etag), before, on_sent)
+        previous_body, LAST_BODIES[0] = LAST_BODIES.get(0, body), body
+        send(self, ResponseHead(head.is_not_modified, len(previous_body), head.etag), previous_body, on_sent)
 
-    _replace(ClientConnection, "send_response", send_other)
+    _patch(ClientConnection, "send_response", send_previous_body)
 
 
 def reuse_connections_at_once() -> None:
-    """Connections do not rest: late second responses are taken for the next requests'."""
-    _replace(ReuseDelay, "duration_ms", lambda self, now_ms: 0.0)
+    """Connections are reused at once, so a duplicate response is taken for that of the next request."""
+    _patch(ReuseDelay, "duration_ms", lambda self, now_ms: 0.0)
 
 
 def omit_retry_after() -> None:
-    """Rejections do not say when to come back."""
+    """Rejections have no Retry-After field."""
     write = ClientConnection._write_status
-    _replace(ClientConnection, "_write_status", lambda self, status, fields=None: write(self, status))
+    _patch(ClientConnection, "_write_status", lambda self, status, fields=None: write(self, status))
 
 
 def answer_twice() -> None:
@@ -107,11 +107,11 @@
         send(self, status, fields)
         self._write(b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
 
-    _replace(ClientConnection, "_write_status", send_twice)
+    _patch(ClientConnection, "_write_status", send_twice)
 
 
 def exceed_deadlines() -> None:
-    """Servers are told of more time than the client has left."""
+    """Servers get a longer deadline than the client has left."""
     fields = protocol_fields.request_fields
 
     def with_more_time(attempt: Attempt, now_ms: float) -> list[tuple[str, str]]:
@@ -120,11 +120,11 @@
             for name, value in fields(attempt, now_ms)
         ]
 
-    _replace(http1, "request_fields", with_more_time)
+    _patch(http1, "request_fields", with_more_time)
 
 
 def ignore_drains() -> None:
-    """Servers that drain are taken for ready."""
+    """Draining servers are treated as ready."""
     apply = ServerRegistry.apply
 
     def apply_as_ready(self: ServerRegistry, event: api.EndpointList) -> None:
@@ -133,17 +133,17 @@
                 object.__setattr__(server, "state", api.ServerState.READY)
         apply(self, event)
 
-    _replace(ServerRegistry, "apply", apply_as_ready)
+    _patch(ServerRegistry, "apply", apply_as_ready)
 
 
 def ignore_purges() -> None:
-    """Purges are not heeded."""
-    _replace(Exchange, "purge", lambda self, event: None)
+    """Purges are ignored."""
+    _patch(Exchange, "purge", lambda self, event: None)
 
 
 def crash_on_reload() -> None:
     """SIGHUP ends the process."""
-    _replace(Director, "reload", lambda self: os._exit(1))
+    _patch(Director, "reload", lambda self: os._exit(1))
 
 
 def leak_descriptors() -> None:
@@ -154,10 +154,10 @@
         os.open(os.devnull, os.O_RDONLY)
         return submit(self, request, client)
 
-    _replace(Exchange, "submit", submit_and_leak)
+    _patch(Exchange, "submit", submit_and_leak)
 
 
-def _replace(owner: Any, name: str, value: Any) -> None:
+def _patch(owner: Any, name: str, value: Any) -> None:
     setattr(owner, name, value)
 
 
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: each asks one request after another and records how it ended."""
+"""Clients of the soak: each sends one request after another and records how it ended."""
 
 from __future__ import annotations
 
@@ -15,56 +15,60 @@
 from .directors import DirectorProcess
 from .history import Effect, End, History, RequestRecord
 from .plan import Plan, TrafficClass
-from .scheduling import TimedReader, came_after_s, has_ended, open_timed_connection
+from .scheduling import TimedReader, earliest_arrival_s, has_ended, open_timed_connection
 
 OBJECT_COUNT = 120
-GIVE_UP_S = 1.2  # a client waits so long past its time before it calls an answer missing
+RESPONSE_GRACE_S = 1.2  # a client waits this long after its deadline before it records a missing response
 SHORT_WAITS_MS = (20.0, 150.0)
 CONNECT_TIMEOUT_S = 1.0
-EARLY_LEAVING = 4.0  # the exponent of the drawn part of its time after which a client goes
+EARLY_LEAVE_EXPONENT = 4.0  # early leavers wait their time limit times random() ** this
 
 
-class AnswerParser:
-    """Parses one answer; `is_whole` once its end was read."""
+class ResponseParser:
+    """Parses one response; `is_complete` once its end was read."""
 
     def __init__(self) -> None:
-        self.status, self.is_whole, self.has_retry_after = 0, False, False
+        self.status, self.is_complete, self.has_retry_after = 0, False, False
         self.body: list[bytes] = []
-        self.received = 0
-        self.closes = False
+        self.received_bytes = 0
+        self.says_close = False
         self.parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> int:
-        """Takes bytes; returns how many lie behind the answer's end."""
-        self.received += len(data)
+        """Parses bytes; returns the number of surplus bytes after a complete response."""
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            return len(data) if self.is_whole else 0
+            return len(data) if self.is_complete else 0
         return 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head."""
+        """Notes the header fields that matter."""
         name = name.lower()
         self.has_retry_after = self.has_retry_after or name == b"retry-after"
-        self.closes = self.closes or (name == b"connection" and value.lower() == b"close")
+        self.says_close = self.says_close or (name == b"connection" and value.lower() == b"close")
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Notes the status."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Appends a piece of the body."""
         self.body.append(body)
 
     def on_message_begin(self) -> None:
-        """The first byte of an answer."""
-        if self.is_whole:
-            raise ValueError("a second answer")
+        """Rejects a duplicate response.
+
+        Raises:
+            ValueError: A response was complete before.
+        """
+        if self.is_complete:
+            raise ValueError("a duplicate response")
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
-        self.is_whole = True
+        """Notes that the response is complete."""
+        self.is_complete = True
 
 
 @dataclass
@@ -74,11 +78,11 @@
     director: tuple[str, int]
     reader: TimedReader
     writer: asyncio.StreamWriter
-    used: int = 0
+    request_count: int = 0
 
 
 class Client:
-    """One client; runs until `is_over` says so."""
+    """One client; it sends requests until `is_over` returns true."""
 
     def __init__(
         self,
@@ -98,25 +102,25 @@
         )
         self.connection: Connection | None = None
         self.sent_count = 0
-        self.rests_long = self.rng.random() < 0.1
+        self.has_long_pauses = self.rng.random() < 0.1
 
     async def run(self) -> None:
-        """Asks until the run is over, then closes its connection."""
+        """Sends requests until the run is over, then closes its connection."""
         try:
             while not self.is_over():
-                await self._ask_once()
-                await self._rest()
+                await self._send_one_request()
+                await self._pause()
         finally:
-            self._drop()
+            self._close_connection()
 
-    async def _rest(self) -> None:
-        rest_s = self.rng.uniform(0.5, 5.5) if self.rests_long else self.rng.uniform(0.0, 0.12)
-        end_s = time.monotonic() + rest_s
+    async def _pause(self) -> None:
+        pause_s = self.rng.uniform(0.5, 5.5) if self.has_long_pauses else self.rng.uniform(0.0, 0.12)
+        end_s = time.monotonic() + pause_s
         while time.monotonic() < end_s and not self.is_over():
             await asyncio.sleep(min(0.1, max(0.0, end_s - time.monotonic())))
 
-    def _drop(self) -> None:
-        """Closes the connection at once: the transport alone would do so a turn of the loop later."""
+    def _close_connection(self) -> None:
+        """Closes the connection at once; the transport would only do so in the next event-loop iteration."""
         if self.connection is not None:
             with contextlib.suppress(OSError):
                 self.connection.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
@@ -126,7 +130,7 @@
     async def _connect(self) -> Connection | None:
         if self.connection is not None and not self.connection.reader.at_eof():
             return self.connection
-        self._drop()
+        self._close_connection()
         admitted = [director for director in self.directors if director.gets_new_connections()]
         if not admitted:
             return None
@@ -136,13 +140,13 @@
                 reader, writer = await open_timed_connection(*director.address)
         except (TimeoutError, OSError):
             return None
-        if not director.gets_new_connections():  # the front has given it up in the meantime
+        if not director.gets_new_connections():  # the front has stopped using this director in the meantime
             writer.transport.abort()
             return None
         self.connection = Connection(director.key, reader, writer)
         return self.connection
 
-    async def _ask_once(self) -> None:
+    async def _send_one_request(self) -> None:
         connection = await self._connect()
         if connection is None:
             return await asyncio.sleep(0.05)
@@ -153,12 +157,12 @@
             await self._read(connection, record)
         except (ConnectionError, OSError):
             record.end, record.ended_s = End.CLOSED, time.monotonic()
-            record.end_came_after_s = connection.reader.came_after_s
-        if record.sent_s == 0.0:  # it never was taken: its last byte did not leave
+            record.earliest_end_s = connection.reader.earliest_arrival_s
+        if record.sent_s == 0.0:  # the request was not sent completely
             record.end = End.UNSENT
-        connection.used += 1
-        if record.end is not End.ANSWERED or self.rng.random() < 0.1:
-            self._drop()
+        connection.request_count += 1
+        if record.end is not End.RESPONDED or self.rng.random() < 0.1:
+            self._close_connection()
 
     def _make_request(self, connection: Connection) -> tuple[RequestRecord, bytes]:
         rng, cls = self.rng, self._draw_class()
@@ -171,7 +175,7 @@
         name, part = f"{key + 1:x}", rng.randrange(2)
         record = RequestRecord(
             trace_id, connection.director, cls.name, cls.effect, cls.window_ms / 1000.0, f"{name}/{part}",
-            wait_ms / 1000.0, is_first=connection.used == 0,
+            wait_ms / 1000.0, is_first_on_connection=connection.request_count == 0,
         )  # fmt: skip
         return record, self._encode(cls, record, name, part, wait_ms)
 
@@ -197,7 +201,7 @@
 
     async def _send(self, connection: Connection, data: bytes, record: RequestRecord) -> None:
         writer = connection.writer
-        if has_ended(writer):  # a client that is not late sees it
+        if has_ended(writer):  # a client without delays would have read the end by now
             raise ConnectionResetError
         record.first_byte_s = time.monotonic()
         if self.rng.random() < 0.1:  # in two pieces
@@ -211,48 +215,54 @@
         record.sent_s = time.monotonic()
 
     async def _read(self, connection: Connection, record: RequestRecord) -> None:
-        parser = AnswerParser()
-        patience_s = record.wait_s + GIVE_UP_S
-        leaves = self.rng.random() < self.plan.leaving
-        if leaves:
-            patience_s = record.wait_s * self.rng.random() ** EARLY_LEAVING  # mostly while it is under way
+        parser = ResponseParser()
+        timeout_s = record.wait_s + RESPONSE_GRACE_S
+        leaves_early = self.rng.random() < self.plan.leaving_fraction
+        if leaves_early:
+            # Most clients that leave early do so while the request is in flight.
+            timeout_s = record.wait_s * self.rng.random() ** EARLY_LEAVE_EXPONENT
         try:
-            async with asyncio.timeout(patience_s):
-                while not parser.is_whole:
+            async with asyncio.timeout(timeout_s):
+                while not parser.is_complete:
                     data = await connection.reader.read(65_536)
                     if not data:
                         break
-                    record.surplus += parser.feed(data)
+                    record.surplus_bytes += parser.feed(data)
         except TimeoutError:
-            if not leaves and connection.reader.has_unread:  # this loop was late, not the answer
-                record.surplus += parser.feed(await connection.reader.read(1_000_000))
-            if parser.is_whole:
-                return self._note_end(connection, record, parser)
-            record.end = End.LEFT if leaves else End.SILENT
-            silent_until_s = came_after_s()
-            self._drop()
+            # The response may have arrived in time, but this loop ran the timeout first.
+            if not leaves_early and connection.reader.has_unread_bytes:
+                record.surplus_bytes += parser.feed(await connection.reader.read(1_000_000))
+            if parser.is_complete:
+                return self._record_end(connection, record, parser)
+            record.end = End.CLIENT_LEFT if leaves_early else End.TIMED_OUT
+            no_response_until_s = earliest_arrival_s()
+            self._close_connection()
             record.left_s = record.ended_s = time.monotonic()
-            record.end_came_after_s = record.left_s if leaves else silent_until_s
-            record.received = parser.received
+            record.earliest_end_s = record.left_s if leaves_early else no_response_until_s
+            record.received_bytes = parser.received_bytes
             return
         except ConnectionError:
             pass
-        self._note_end(connection, record, parser)
-        if parser.closes and connection is self.connection:
+        self._record_end(connection, record, parser)
+        if parser.says_close and connection is self.connection:
             await self._read_surplus(connection, record)
-            self._drop()
-
-    def _note_end(self, connection: Connection, record: RequestRecord, parser: AnswerParser) -> None:
-        """Records a whole answer, or the connection's end without one."""
-        record.ended_s, record.end_came_after_s = time.monotonic(), connection.reader.came_after_s
-        record.end = End.ANSWERED if parser.is_whole else End.CLOSED
-        record.status, record.body, record.received = parser.status, b"".join(parser.body), parser.received
+            self._close_connection()
+
+    def _record_end(self, connection: Connection, record: RequestRecord, parser: ResponseParser) -> None:
+        """Records a complete response, or the end of the connection without one."""
+        record.ended_s, record.earliest_end_s = time.monotonic(), connection.reader.earliest_arrival_s
+        record.end = End.RESPONDED if parser.is_complete else End.CLOSED
+        record.status, record.body, record.received_bytes = (
+            parser.status,
+            b"".join(parser.body),
+            parser.received_bytes,
+        )
         record.has_retry_after = parser.has_retry_after
 
     async def _read_surplus(self, connection: Connection, record: RequestRecord) -> None:
-        """Reads what comes behind an answer that says that it is the last."""
+        """Reads surplus bytes after a response with `Connection: close`."""
         try:
             async with asyncio.timeout(0.05):
-                record.surplus += len(await connection.reader.read(1_024))
+                record.surplus_bytes += len(await connection.reader.read(1_024))
         except (TimeoutError, ConnectionError):
             pass
--- a/benchmarks/soak/coordinator.py
+++ b/benchmarks/soak/coordinator.py
@@ -1,4 +1,4 @@
-"""The soak's coordinator: a numbered feed with a heartbeat, which can be cut off or fall silent."""
+"""The soak's coordinator: a numbered feed with a heartbeat, which can go down or become unresponsive."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class SoakCoordinator:
-    """Serves the events so far to each follower, and further ones as they come."""
+    """Sends all earlier events to each follower, and new ones as they are published."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
         self.port = 0
-        self.is_silent = False
+        self.is_unresponsive = False
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._heartbeat: asyncio.Task[None] | None = None
 
     async def listen(self) -> None:
-        """Listens, at first on a port of the system's choice, later on the same one."""
+        """Listens on a free port the first time, and on the same port later."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         if self._heartbeat is None:
@@ -38,7 +38,7 @@
         self._writers.clear()
 
     def close(self) -> None:
-        """Ends it for good."""
+        """Stops listening, resets all followers and ends the heartbeat."""
         self.go_down()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
@@ -53,11 +53,11 @@
         self.publish(endpoints={"rev": len(self.events) + 1, "all": is_complete, "targets": targets})
 
     def known(self) -> dict[str, Any]:
-        """Returns the events so far as a director's configuration has them."""
+        """Returns the events so far in the form of a director's configuration."""
         return {"index": len(self.events), "updates": list(self.events)}
 
     def _send(self, data: bytes) -> None:
-        if not self.is_silent:
+        if not self.is_unresponsive:
             for writer in self._writers:
                 writer.write(data)
 
@@ -69,7 +69,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, ValueError, IndexError, asyncio.CancelledError):
             last = int((await reader.readline()).split()[1])
-            while self.is_silent:  # nothing is lost by a silence, it is only late
+            while self.is_unresponsive:  # events are delayed, not lost
                 await asyncio.sleep(0.05)
             for event in self.events[last:]:
                 writer.write(json.dumps(event).encode() + b"\n")
--- a/benchmarks/soak/directors.py
+++ b/benchmarks/soak/directors.py
@@ -1,4 +1,4 @@
-"""Directors of the soak as processes: started, signalled as the platform does, looked at when quiet."""
+"""Directors of the soak as processes: started and signalled as by the platform, and checked for leaks."""
 
 from __future__ import annotations
 
@@ -20,27 +20,30 @@
 
 from .history import History, LeakRecord, StopRecord
 
-ACCEPT_S, MAX_ACCEPT_S = 0.3, 0.4  # new connections keep coming for so long after SIGTERM
-KILL_S = 0.7  # SIGKILL comes so long after SIGTERM, and the longest deadline
+# The front still sends new connections for 0.3 s after SIGTERM, and never any after 0.4 s.
+ACCEPT_AFTER_SIGTERM_S, MAX_ACCEPT_AFTER_SIGTERM_S = 0.3, 0.4
+SIGKILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM after this and the longest deadline
 START_TIMEOUT_S = 20.0
-QUIET_LOOKS, QUIET_LOOK_INTERVAL_S = 5, 0.5  # what is open at the last of them stays open
+QUIET_CHECKS, QUIET_CHECK_INTERVAL_S = 5, 0.5  # resources that the last check still finds are leaks
 MAX_RSS_MB = 64.0
-RESERVED_FILES = 24  # a director's own: listeners, the loop's, the log, the feed
+RESERVED_FILES = 24  # for the listeners, the event loop, the log and the feed
 EMPTY_WHEN_QUIET = ("now.owed", "now.passing", "now.waiting", "now.clients")
 CRASH_PATTERN = re.compile(r"Traceback|exception was never retrieved")
 
 
 class StartError(GladewalkError):
-    """A director has ended at its start, or is not ready in time."""
+    """A director ended while it started, or was not ready in time."""
 
 
 @dataclass
 class DirectorProcess:
-    """One director over its restarts.
+    """One director, which keeps its name over restarts.
 
     Attributes:
-        is_admitted: The front sends it new connections.
-        connections_end: Set once its present process has been told to stop: clients then rest on none.
+        start_count: The number of its starts so far.
+        is_admitted: Whether the front sends it new connections.
+        sigterm_s: When SIGTERM was sent to the current process; infinite before.
+        tasks: Restarts in progress or done.
     """
 
     name: str
@@ -55,51 +58,51 @@
     start_count: int = 0
     address: tuple[str, int] = ("", 0)
     is_admitted: bool = False
-    term_s: float = math.inf  # when the present process was told to stop
+    sigterm_s: float = math.inf
     process: asyncio.subprocess.Process | None = None
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name and number of the present process."""
+        """The director's name and the start number of its current process."""
         return self.name, self.start_count
 
     @property
     def config_file(self) -> Path:
-        """Its `NODE_CONFIG`."""
+        """The file that `NODE_CONFIG` names."""
         return self.folder / f"{self.name}.json"
 
     @property
     def log_file(self) -> Path:
-        """The present process's log."""
+        """The log of the current process."""
         return self.folder / f"{self.name}.{self.start_count}.log"
 
     async def start(self) -> None:
-        """Starts a process and waits until it says that it is healthy."""
+        """Starts a process and waits until its health check succeeds."""
         self.start_count += 1
-        self.term_s = math.inf
+        self.sigterm_s = math.inf
         self.write_config()
         environ = dict(os.environ)
         if self.library is not None and self.faults:
             schedule = FaultSchedule(self.folder, self.name, self.seed, self.faults, self.epoch_ns)
             environ = schedule.environment(self.library)
-        words = ["-m", "gladewalk"]
+        arguments = ["-m", "gladewalk"]
         if self.broken:
-            words = ["-m", "benchmarks.soak.broken_director", self.broken]
+            arguments = ["-m", "benchmarks.soak.broken_director", self.broken]
         with self.log_file.open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, *words, env={**environ, "NODE_CONFIG": str(self.config_file)}, stderr=log
+                sys.executable, *arguments, env={**environ, "NODE_CONFIG": str(self.config_file)}, stderr=log
             )
         self.address = await self._serving_address()
         await self._become_admitted()
         self.history.note(time.monotonic(), f"{self.name} started ({self.start_count})")
 
     def write_config(self) -> None:
-        """Writes its configuration file anew, as the platform does before a SIGHUP."""
+        """Replaces its configuration file, as the platform does before a SIGHUP."""
         text = json.dumps({**self.config, "name": self.name})
-        fresh = self.config_file.with_suffix(".next")
-        fresh.write_text(text, encoding="utf-8")
-        fresh.replace(self.config_file)
+        new_file = self.config_file.with_suffix(".next")
+        new_file.write_text(text, encoding="utf-8")
+        new_file.replace(self.config_file)
 
     async def _serving_address(self) -> tuple[str, int]:
         end_s = time.monotonic() + START_TIMEOUT_S
@@ -110,7 +113,7 @@
                     if event.get("event") == "serving":
                         return event["listen"][0], event["listen"][1]
             if self.process is not None and self.process.returncode is not None:
-                raise StartError(f"{self.name} ended at its start: {self._log_text().strip()[-200:]}")
+                raise StartError(f"{self.name} ended while it started: {self._log_text().strip()[-200:]}")
             await asyncio.sleep(0.02)
         raise StartError(f"{self.name} does not serve after {START_TIMEOUT_S:g} s")
 
@@ -133,37 +136,37 @@
         raise StartError(f"{self.name} is not healthy after {START_TIMEOUT_S:g} s")
 
     def gets_new_connections(self) -> bool:
-        """Whether the front sends it new connections now, however late this loop is."""
-        return self.is_admitted and time.monotonic() <= self.term_s + MAX_ACCEPT_S
+        """Whether the front sends it new connections now, even if this event loop is delayed."""
+        return self.is_admitted and time.monotonic() <= self.sigterm_s + MAX_ACCEPT_AFTER_SIGTERM_S
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the present process, if it still runs."""
+        """Sends a signal to the current process if it still runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
-            self.history.note(time.monotonic(), f"{self.name} gets {number.name}")
+            self.history.note(time.monotonic(), f"{self.name} receives {number.name}")
 
     async def stop(self, longest_deadline_s: float) -> StopRecord:
-        """SIGTERM, and SIGKILL at the earliest that the platform allows."""
+        """Sends SIGTERM, and SIGKILL at the earliest time that the platform allows."""
         process = self.process
         assert process is not None
-        self.term_s = term_s = time.monotonic()
-        record = StopRecord(self.key, term_s, None)
+        self.sigterm_s = sigterm_s = time.monotonic()
+        record = StopRecord(self.key, sigterm_s, None)
         self.send(signal.SIGTERM)
-        kill_s = term_s + KILL_S + longest_deadline_s
-        await asyncio.sleep(ACCEPT_S)
+        sigkill_s = sigterm_s + SIGKILL_DELAY_S + longest_deadline_s
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         self.is_admitted = False
         try:
-            async with asyncio.timeout(max(0.0, kill_s - time.monotonic())):
+            async with asyncio.timeout(max(0.0, sigkill_s - time.monotonic())):
                 await process.wait()
         except TimeoutError:
-            record.kill_s = time.monotonic()
+            record.sigkill_s = time.monotonic()
             self.send(signal.SIGKILL)
             await process.wait()
         self._finish(record)
         return record
 
     async def kill(self) -> None:
-        """SIGKILL without notice; the front notices it late."""
+        """Sends SIGKILL without notice; the front uses the director until the process has ended."""
         assert self.process is not None
         record = StopRecord(self.key, None, time.monotonic())
         self.send(signal.SIGKILL)
@@ -178,20 +181,25 @@
         self.history.stops.append(record)
 
     async def check_quiet(self) -> None:
-        """Records what stays open though no client has a connection any more."""
+        """Records resources that stay in use though no client is connected any more."""
         if self.process is None or self.process.returncode is not None:
             self.history.stops.append(StopRecord(self.key, None, None, exit_code=-1))
             return
         leaks: list[str] = []
-        for look in range(1, QUIET_LOOKS + 1):
-            leaks = await self._look(self.process.pid, look)
+        for check_number in range(1, QUIET_CHECKS + 1):
+            leaks = await self._find_leaks(self.process.pid, check_number)
             if not leaks:
                 return
-            await asyncio.sleep(QUIET_LOOK_INTERVAL_S)
+            await asyncio.sleep(QUIET_CHECK_INTERVAL_S)
         self.history.leaks += [LeakRecord(self.key, leak) for leak in leaks]
 
-    async def _look(self, pid: int, number: int) -> list[str]:
-        """Asks the process for its counters; returns what is open there and should not be."""
+    async def _find_leaks(self, pid: int, number: int) -> list[str]:
+        """Requests the counters of the process; returns the resources that should not be in use.
+
+        Args:
+            pid: The process.
+            number: How many reports of counters its log then has.
+        """
         self.send(signal.SIGUSR1)
         reports: list[str] = []
         end_s = time.monotonic() + 5.0
--- a/benchmarks/soak/history.py
+++ b/benchmarks/soak/history.py
@@ -1,4 +1,4 @@
-"""What clients, servers and the coordinator recorded of a run; times are seconds of one monotonic clock."""
+"""The records that clients, servers and the coordinator make of a run; times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Effect(Enum):
-    """What a second run of a request does."""
+    """Whether a request may be executed a second time."""
 
     REPEATABLE = "repeatable"
-    BY_KEY = "by_key"
+    BY_KEY = "by_key"  # within its window, servers drop a repeat with the same key
     ONCE = "once"
 
 
 class End(Enum):
     """How a request ended for its client."""
 
-    ANSWERED = "answered"  # a whole answer
-    CLOSED = "closed"  # the connection ended without one
-    SILENT = "silent"  # nothing came until long after its time
-    LEFT = "left"  # the client went first
-    UNSENT = "unsent"  # the connection could not be made
+    RESPONDED = "answered"  # with a complete response
+    CLOSED = "closed"  # the connection ended before that
+    TIMED_OUT = "silent"  # no complete response until long after its deadline
+    CLIENT_LEFT = "left"  # the client disconnected first
+    UNSENT = "unsent"  # it was not sent completely
 
 
 @dataclass(slots=True, eq=False)
@@ -33,23 +33,24 @@
 
     Attributes:
         trace_id: Its id.
-        director: Who it was sent to, with the number of that process's start.
+        director: The director that it was sent to, and the start number of that process.
         class_name: Its class.
-        effect: What a second run does.
-        window_s: For a keyed one: how long a repeat is dropped by the servers.
+        effect: Whether it may be executed a second time.
+        window_s: How long servers drop repeats, for a request with a key.
         object_id: Object and part.
         wait_s: How long the client waits.
         first_byte_s: When its first byte was written.
         sent_s: When its last byte was written.
-        is_first: It was the first on its connection.
-        left_s: When its client went.
-        ended_s: When its end was seen.
-        end_came_after_s: The earliest time at which its end can have come; up to then nothing had.
-        status: Of its answer.
-        body: Of its answer.
-        has_retry_after: Whether the answer says when to come back.
-        surplus: Bytes behind a whole answer.
-        received: Bytes of an answer that is not whole.
+        is_first_on_connection: Whether it was the first on its connection.
+        left_s: When its client disconnected.
+        ended_s: When the client read its end.
+        earliest_end_s: The earliest time at which its end can have arrived; it had not by then.
+        end: How it ended.
+        status: The status of its response.
+        body: The body of its response.
+        has_retry_after: Whether the response has a Retry-After field.
+        surplus_bytes: The number of bytes after a complete response.
+        received_bytes: The number of bytes of its response, complete or not.
     """
 
     trace_id: str
@@ -61,48 +62,54 @@
     wait_s: float
     first_byte_s: float = 0.0
     sent_s: float = 0.0
-    is_first: bool = False
+    is_first_on_connection: bool = False
     left_s: float | None = None
     ended_s: float = 0.0
-    end_came_after_s: float = 0.0
+    earliest_end_s: float = 0.0
     end: End = End.UNSENT
     status: int = 0
     body: bytes = b""
     has_retry_after: bool = False
-    surplus: int = 0
-    received: int = 0
+    surplus_bytes: int = 0
+    received_bytes: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt as its server saw it; `may_have_run` until the server told that it never ran."""
+    """One attempt as its server saw it; `may_have_run` unless the server reported that it did not."""
 
     trace_id: str
     server: str
-    began_s: float  # its first byte was read
+    began_s: float  # when its first byte was read
     max_wait_ms: float
     path: str
     may_have_run: bool = True
     end: str = ""
-    came_after_s: float = 0.0  # the earliest time at which its first byte can have come
-    ended_s: float = 0.0  # its answer, or what stood for it, was written
+    earliest_arrival_s: float = 0.0  # the earliest time at which its first byte can have arrived
+    ended_s: float = 0.0  # when its response, or the fault in place of it, was written
 
 
 @dataclass(slots=True)
 class DrainRecord:
-    """A server's drain; `told_s` is when every director counts as told."""
+    """A server's drain; `notified_s` is when every director counts as notified of it."""
 
     server: str
-    told_s: float
+    notified_s: float
 
 
 @dataclass(slots=True)
 class PurgeRecord:
-    """A purge of an object; `version` is the first that is good, `told_s` when every director is told."""
+    """A purge of an object.
+
+    Attributes:
+        object_name: The purged object.
+        version: The first version that may be served after the purge.
+        notified_s: When every director counts as notified.
+    """
 
     object_name: str
     version: int
-    told_s: float
+    notified_s: float
 
 
 @dataclass(slots=True)
@@ -110,23 +117,23 @@
     """The end of a director's process: a planned stop, or a kill without notice."""
 
     director: tuple[str, int]
-    term_s: float | None
-    kill_s: float | None
+    sigterm_s: float | None
+    sigkill_s: float | None
     exit_code: int | None = None
     log_errors: int = 0
 
 
 @dataclass(slots=True)
 class LeakRecord:
-    """What a director still had in a quiet moment."""
+    """A resource that a director still uses though no client is connected."""
 
     director: tuple[str, int]
-    what: str
+    resource: str
 
 
 @dataclass(slots=True)
-class CrowdRecord:
-    """A crowd of idle clients at a director, until some time after the last of them has left."""
+class BurstRecord:
+    """A burst of idle connections to a director; `until_s` is some time after the last was closed."""
 
     director: str
     from_s: float
@@ -143,9 +150,9 @@
     purges: list[PurgeRecord] = field(default_factory=list)
     stops: list[StopRecord] = field(default_factory=list)
     leaks: list[LeakRecord] = field(default_factory=list)
-    crowds: list[CrowdRecord] = field(default_factory=list)
+    bursts: list[BurstRecord] = field(default_factory=list)
     waits: list[ProcessorWait] = field(default_factory=list)  # of the directors and the soak
-    notes: list[tuple[float, str]] = field(default_factory=list)  # faults, signals, events of the feed
+    notes: list[tuple[float, str]] = field(default_factory=list)  # for the timeline: faults, signals
 
     def note(self, at_s: float, text: str) -> None:
         """Adds a line to the timeline."""
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a run from a seed: the deployment, its traffic, and the faults that overlap in it."""
+"""Generates a run from a seed: the deployment, its traffic, and faults that may overlap."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 
 WORDS = ("atlas", "brine", "cobalt", "delta", "ember", "fjord", "grain", "harbor", "inlet", "jetty", "kelp")
 DURATION_S = 8.0
-WARM_UP_S = 1.0  # without faults
-SHIM_DELAY_MS = 1_500  # a director has started by then
+WARM_UP_S = 1.0  # no fault begins before
+MIN_SYSCALL_FAULT_MS = 1_500  # system calls fail only later, when the director has started
 SYSCALL_KINDS = (
     FaultKind.ACCEPT, FaultKind.SOCKET, FaultKind.CONNECT, FaultKind.WAIT, FaultKind.READ, FaultKind.WRITE,
     FaultKind.READ_SHORT, FaultKind.WRITE_SHORT, FaultKind.CLOCK_STEP,
 )  # fmt: skip
-ALL_SHORT = 0.3  # of the deployments have short deadlines alone
+SHORT_DEADLINES_FRACTION = 0.3  # of the deployments have only short deadlines
 CLOCK_STEPS_MS = (3_600_000, -3_600_000, 5_000, -5_000, 700, -700)
 
 
 class FaultName(Enum):
-    """What may happen in a run."""
+    """The faults of a run. Those of a server hit a fraction of its responses for a while."""
 
-    RESET_HEAD = "reset_head"  # of a server, for a while, in a part of its answers
+    RESET_HEAD = "reset_head"  # a connection reset within the head of a response
     RESET_BODY = "reset_body"
     STALL_HEAD = "stall_head"
     STALL_BODY = "stall_body"
-    DRIP = "drip"  # a body whose end comes about when the attempt's time is up
-    DOUBLE = "double"  # a second answer behind the first
+    DRIP = "drip"  # a slow body that ends at about the attempt's deadline
+    DOUBLE = "double"  # a duplicate response after the first
     GARBAGE = "garbage"
     HANG = "hang"
     ERROR = "error"
     SHED = "shed"
-    LATE = "late"  # 504: the request was over already
+    LATE = "late"  # 504: the request arrived after its deadline
     SLOW = "slow"
     REFUSE = "refuse"  # the server is down
     DRAIN = "drain"  # a server is replaced
     PURGE = "purge"
-    FEED_CUT = "feed_cut"
-    FEED_SILENT = "feed_silent"
-    STOP = "stop"  # SIGTERM to a director, SIGKILL at the earliest, a new start
-    STOP_SERIES = "stop_series"  # SIGHUP and SIGTERM in series
+    FEED_CUT = "feed_cut"  # the coordinator is down
+    FEED_SILENT = "feed_silent"  # the coordinator keeps its connections open and sends nothing
+    STOP = "stop"  # SIGTERM, SIGKILL at the earliest time that the platform allows, and a restart
+    STOP_SERIES = "stop_series"  # several SIGHUPs and SIGTERMs in a row, and a restart
     RELOADS = "reloads"  # SIGHUPs in quick succession
-    KILL = "kill"
-    CROWD = "crowd"  # idle clients fill the descriptors
+    KILL = "kill"  # SIGKILL without notice, and a restart
+    CROWD = "crowd"  # idle connections use up the file descriptors
 
 
 SERVER_FAULTS = (
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One fault: when, for how long, at which server or director, and in which part of the answers."""
+    """One fault: when, for how long, at which server or director, and in which fraction of the responses."""
 
     at_s: float
     duration_s: float
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """A class of requests as clients know it."""
+    """A class of requests, as its clients see it."""
 
     name: str
     effect: Effect
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A drawn run."""
+    """The deployment, traffic and faults of one run."""
 
     seed: int
     director_count: int
@@ -102,15 +102,15 @@
     faults: tuple[PlannedFault, ...]
     syscalls: dict[int, tuple[SyscallFault, ...]]  # by director
     duration_s: float = DURATION_S
-    leaving: float = 0.05  # the part of the requests whose clients go before their time is up
+    leaving_fraction: float = 0.05  # of the clients disconnect before the deadline of their request
 
     def longest_deadline_s(self) -> float:
-        """Returns the longest deadline of a class, counted as 3 s at most."""
+        """Returns the longest deadline of all classes, but at most 3 s."""
         return min(3.0, max(cls.deadline_ms for cls in self.classes) / 1000.0)
 
 
 def draw_plan(seed: int, without: frozenset[int] = frozenset()) -> Plan:
-    """Returns the run of a seed; `without` leaves out faults by their numbers."""
+    """Returns the run of a seed without the faults of these numbers; -1 stands for all system call faults."""
     rng = random.Random(seed)
     classes = _draw_classes(rng)
     director_count = rng.choice((3, 3, 4, 5, 8))
@@ -133,7 +133,7 @@
 def _draw_classes(rng: random.Random) -> tuple[TrafficClass, ...]:
     names = rng.sample(WORDS, 3)
     write_effect = rng.choice((Effect.ONCE, Effect.BY_KEY))
-    if rng.random() < ALL_SHORT:  # SIGKILL then comes soon after SIGTERM
+    if rng.random() < SHORT_DEADLINES_FRACTION:  # then SIGKILL follows soon after SIGTERM
         return (
             TrafficClass(names[0], Effect.REPEATABLE, rng.uniform(60.0, 200.0), 0.0),
             TrafficClass(names[1], Effect.REPEATABLE, rng.uniform(60.0, 300.0), 0.0),
@@ -185,7 +185,7 @@
     drawn = []
     for _ in range(rng.randint(1, 4)):
         kind = rng.choice(SYSCALL_KINDS)
-        begin_ms = rng.randint(SHIM_DELAY_MS, int(DURATION_S * 1000))
+        begin_ms = rng.randint(MIN_SYSCALL_FAULT_MS, int(DURATION_S * 1000))
         if kind is FaultKind.CLOCK_STEP:
             end_ms = begin_ms + rng.choice((300, 2_000, 600_000))
             drawn.append(SyscallFault(begin_ms, end_ms, kind, rng.choice(CLOCK_STEPS_MS)))
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan: servers, a coordinator, directors as processes, clients, and faults as they fall due."""
+"""Runs one plan: servers, a coordinator, directors as processes, clients, and faults at their times."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from .clients import Client
 from .coordinator import SoakCoordinator
 from .directors import DirectorProcess
-from .history import CrowdRecord, DrainRecord, History, PurgeRecord
+from .history import BurstRecord, DrainRecord, History, PurgeRecord
 from .plan import SERVER_FAULTS, FaultName, Plan, PlannedFault
 from .scheduling import SchedulingMonitor, SoakLoop
-from .servers import PURGE_SETTLES_S, Origin, SoakServer
+from .servers import MAX_PURGE_DELAY_S, Origin, SoakServer
 
-TOLD_S, TOLD_AT_THE_LATEST_S = 0.3, 7.0
-DRAIN_TO_GONE_S = 2.5
-QUIET_S = 0.6  # between the last client's end and the look at what is still open
-CROWD_CONNECTIONS = 150
-CROWD_AFTERMATH_S = 2.5
+NOTIFIED_S, MAX_NOTIFIED_S = 0.3, 7.0  # after publication; the second if the feed or system calls fail
+DRAIN_TO_DELETED_S = 2.5
+QUIET_S = 0.6  # from the end of the last client until the check for leaks
+BURST_CONNECTIONS = 150
+BURST_AFTERMATH_S = 2.5
 HOT_OBJECTS = 6
 MIN_CACHES = 2
 
 
 class SoakRun:
-    """One run; `play` returns its history."""
+    """One run; `execute` returns its history."""
 
     def __init__(self, plan: Plan, folder: Path, broken: str = "") -> None:
         self.plan, self.folder, self.broken = plan, folder, broken
@@ -45,16 +45,16 @@
         self.begin_s = 0.0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self) -> History:
-        """Plays the whole run and ends all that it started."""
+    async def execute(self) -> History:
+        """Runs the plan and stops everything that it started."""
         monitor = SchedulingMonitor(self._process_ids)
         monitor.start()
         try:
             await self._start()
-            await self._play_clients()
+            await self._run_clients()
             await asyncio.sleep(QUIET_S)
             for director in self.directors:
-                self.history.note(time.monotonic(), f"{director.name} should be quiet")
+                self.history.note(time.monotonic(), f"{director.name}: check for leaks")
                 await director.check_quiet()
             await asyncio.gather(*(self._stop(director) for director in self.directors))
         finally:
@@ -69,7 +69,7 @@
         return self.history
 
     def _process_ids(self) -> dict[str, int]:
-        """Returns the running directors' process ids by their names."""
+        """Returns the process ids of the running directors by name."""
         processes = {director.name: director.process for director in self.directors}
         return {
             name: process.pid
@@ -100,7 +100,7 @@
         self.begin_s = time.monotonic()
         for server in self.servers.values():
             server.begin_s = self.begin_s
-        self._plan_server_faults()
+        self._assign_server_faults()
 
     def _config(self) -> dict[str, object]:
         return {
@@ -118,23 +118,23 @@
         self.servers[name] = server
         return server
 
-    def _plan_server_faults(self) -> None:
+    def _assign_server_faults(self) -> None:
         ordered = list(self.servers.values())
         for fault in self.plan.faults:
             if fault.name in SERVER_FAULTS:
                 ordered[fault.target % len(ordered)].faults.append(fault)
 
-    async def _play_clients(self) -> None:
+    async def _run_clients(self) -> None:
         end_s = self.begin_s + self.plan.duration_s
         clients = [
             Client(number, self.plan, self.directors, self.history, lambda: time.monotonic() >= end_s)
             for number in range(self.plan.client_count)
         ]
-        faults = {fault: self._spawn(self._play_fault(fault)) for fault in self.plan.faults}
+        faults = {fault: self._spawn(self._inject_fault(fault)) for fault in self.plan.faults}
         await asyncio.gather(*(client.run() for client in clients))
-        # A crowd counts as clients until it has left.
+        # The idle connections of a burst count as clients until they are closed.
         await asyncio.gather(*(task for fault, task in faults.items() if fault.name is FaultName.CROWD))
-        for director in self.directors:  # a restart that is under way ends before the look
+        for director in self.directors:  # a restart in progress ends before the check for leaks
             pending = [task for task in director.tasks if not task.done()]
             if pending:
                 await asyncio.wait(pending)
@@ -146,7 +146,7 @@
 
     # Faults.
 
-    async def _play_fault(self, fault: PlannedFault) -> None:
+    async def _inject_fault(self, fault: PlannedFault) -> None:
         await asyncio.sleep(max(0.0, self.begin_s + fault.at_s - time.monotonic()))
         self.history.note(time.monotonic(), f"fault: {fault.describe()}")
         match fault.name:
@@ -161,13 +161,13 @@
                 await asyncio.sleep(fault.duration_s)
                 await self.coordinator.listen()
             case FaultName.FEED_SILENT:
-                self.coordinator.is_silent = True
+                self.coordinator.is_unresponsive = True
                 await asyncio.sleep(fault.duration_s)
-                self.coordinator.is_silent = False
-                self.coordinator.go_down()  # followers ask again for what they missed
+                self.coordinator.is_unresponsive = False
+                self.coordinator.go_down()  # followers reconnect and request the events that they missed
                 await self.coordinator.listen()
             case FaultName.CROWD:
-                await self._crowd(fault)
+                await self._open_burst(fault)
             case FaultName.STOP | FaultName.STOP_SERIES | FaultName.RELOADS | FaultName.KILL:
                 await self._signal(fault)
 
@@ -179,13 +179,13 @@
             with contextlib.suppress(OSError):
                 await server.listen()
 
-    def _told_s(self) -> float:
-        """Returns when each director counts as told of what is published now."""
+    def _notified_s(self) -> float:
+        """Returns when each director counts as notified of what is published now."""
         now_s = time.monotonic()
-        is_feed_hurt = bool(self.plan.syscalls) or any(
+        has_feed_faults = bool(self.plan.syscalls) or any(
             fault.name in (FaultName.FEED_CUT, FaultName.FEED_SILENT) for fault in self.plan.faults
         )
-        return now_s + (TOLD_AT_THE_LATEST_S if is_feed_hurt else TOLD_S)
+        return now_s + (MAX_NOTIFIED_S if has_feed_faults else NOTIFIED_S)
 
     async def _drain(self, fault: PlannedFault) -> None:
         caches = [one for one in self.servers.values() if one.role == "standard" and one.state == "SERVING"]
@@ -194,12 +194,12 @@
         old = caches[fault.target % len(caches)]
         old.state = "DRAINING"
         self.coordinator.publish_endpoints([old.target()])
-        self.history.drains.append(DrainRecord(old.name, self._told_s()))
+        self.history.drains.append(DrainRecord(old.name, self._notified_s()))
         new = self._add_server(f"{old.name}x", "standard")
         await new.listen()
         new.boot_ms = time.time() * 1000.0
         self.coordinator.publish_endpoints([new.target()])
-        await asyncio.sleep(DRAIN_TO_GONE_S)
+        await asyncio.sleep(DRAIN_TO_DELETED_S)
         old.state = "DELETED"
         self.coordinator.publish_endpoints([old.target()])
         old.go_down()
@@ -208,30 +208,30 @@
         name = f"{1 + fault.target % HOT_OBJECTS:x}"
         version = self.origin.versions[name] = self.origin.versions.get(name, 1) + 1
         self.coordinator.publish(evict={"ref": name, "unix_ms": time.time() * 1000.0})
-        self.history.purges.append(PurgeRecord(name, version, self._told_s()))
+        self.history.purges.append(PurgeRecord(name, version, self._notified_s()))
         for server in list(self.servers.values()):
-            self._spawn(self._settle(server, name))
+            self._spawn(self._forget_purged(server, name))
 
-    async def _settle(self, server: SoakServer, name: str) -> None:
-        await asyncio.sleep(self.rng.uniform(0.1, PURGE_SETTLES_S))
+    async def _forget_purged(self, server: SoakServer, name: str) -> None:
+        await asyncio.sleep(self.rng.uniform(0.1, MAX_PURGE_DELAY_S))
         server.forget(name)
 
-    async def _crowd(self, fault: PlannedFault) -> None:
-        """Fills a director's descriptors with idle clients; how long that takes depends on the machine."""
+    async def _open_burst(self, fault: PlannedFault) -> None:
+        """Uses up a director's descriptors with idle connections, which takes longer on a slow machine."""
         director = self.directors[fault.target % len(self.directors)]
-        crowd = CrowdRecord(director.name, time.monotonic())
-        self.history.crowds.append(crowd)
+        burst = BurstRecord(director.name, time.monotonic())
+        self.history.bursts.append(burst)
         writers = []
-        for _ in range(CROWD_CONNECTIONS):
+        for _ in range(BURST_CONNECTIONS):
             with contextlib.suppress(OSError, asyncio.TimeoutError):
                 async with asyncio.timeout(0.5):
                     writers.append((await asyncio.open_connection(*director.address))[1])
-        self.history.note(time.monotonic(), f"crowd of {len(writers)} at {director.name} is open")
+        self.history.note(time.monotonic(), f"burst of {len(writers)} connections to {director.name} is open")
         await asyncio.sleep(fault.duration_s)
         for writer in writers:
             writer.transport.abort()
-        crowd.until_s = time.monotonic() + CROWD_AFTERMATH_S
-        self.history.note(time.monotonic(), f"crowd at {director.name} leaves")
+        burst.until_s = time.monotonic() + BURST_AFTERMATH_S
+        self.history.note(time.monotonic(), f"burst of connections to {director.name} is closed")
 
     async def _signal(self, fault: PlannedFault) -> None:
         director = self.directors[fault.target % len(self.directors)]
@@ -279,10 +279,10 @@
                 await director.process.wait()
 
 
-def play(plan: Plan, keep: Path | None = None, broken: str = "") -> History:
-    """Plays a plan in an event loop of its own; `keep` is where logs stay."""
+def run_plan(plan: Plan, keep: Path | None = None, broken: str = "") -> History:
+    """Runs a plan in an event loop of its own; `keep` is the folder for logs that are kept."""
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep or Path(temporary)
         os.makedirs(folder, exist_ok=True)
         with asyncio.Runner(loop_factory=SoakLoop) as runner:
-            return runner.run(SoakRun(plan, folder, broken).play())
+            return runner.run(SoakRun(plan, folder, broken).execute())
--- a/benchmarks/soak/scheduling.py
+++ b/benchmarks/soak/scheduling.py
@@ -1,7 +1,8 @@
-"""When things really happened on a busy machine: turns of the soak's own loop, and waits for a processor.
+"""Bounds for the times of events on a busy machine, where the soak's own event loop may read them late.
 
-What the soak reads in a turn of its loop came after the turn before had asked the system what is there. Each
-record of something read has two times: when it was read, and the earliest at which it can have come.
+What the event loop reads in one iteration arrived after the previous iteration polled the system. So each
+record of something read has two times: when it was read, and the earliest time at which it can have arrived.
+The module also records how long processes waited for a processor.
 """
 
 from __future__ import annotations
@@ -19,93 +20,93 @@
 from typing import SupportsIndex
 
 MAX_SELECT_S = 0.01
-ACCEPT_TURNS = 3  # of asyncio's loop: a connection is accepted, set up in a task, and made known
-READ_LIMIT_BYTES = 1_000_000  # reading does not pause, which would hide when bytes came
+ACCEPT_ITERATIONS = 3  # asyncio accepts a connection, sets it up in a task, and reports it
+READ_LIMIT_BYTES = 1_000_000  # never reached: a paused read would hide when bytes arrived
 SAMPLE_INTERVAL_S = 0.02
-MIN_WAIT_S = 0.05  # shorter waits for a processor are not told
+MIN_WAIT_S = 0.05  # shorter waits for a processor are not recorded
 NS_PER_S = 1e9
 SELF = "soak"
 
 
-class TurnSelector(selectors.DefaultSelector):
-    """A selector that notes, turn by turn, up to when nothing was there of what it finds.
+class ArrivalSelector(selectors.DefaultSelector):
+    """A selector that records for each iteration since when the events that it returns can have arrived.
 
     Attributes:
-        nothing_until_s: That time for the last turns, the present one at the end; monotonic seconds.
+        empty_until_s: That time for the last iterations, the current one last; monotonic seconds.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._asked_s = time.monotonic()
-        self.nothing_until_s = deque([self._asked_s] * ACCEPT_TURNS, maxlen=ACCEPT_TURNS)
+        self._last_select_s = time.monotonic()
+        self.empty_until_s = deque([self._last_select_s] * ACCEPT_ITERATIONS, maxlen=ACCEPT_ITERATIONS)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Asks as the base class does, and returns without a find after `MAX_SELECT_S`."""
-        nothing_until_s, self._asked_s = self._asked_s, time.monotonic()
+        """Polls as the base class does, but waits for `MAX_SELECT_S` at most."""
+        empty_until_s, self._last_select_s = self._last_select_s, time.monotonic()
         ready = super().select(0)
         if not ready and (timeout is None or timeout > 0):
-            nothing_until_s, self._asked_s = self._asked_s, time.monotonic()
+            empty_until_s, self._last_select_s = self._last_select_s, time.monotonic()
             ready = super().select(MAX_SELECT_S if timeout is None else min(MAX_SELECT_S, timeout))
-        self.nothing_until_s.append(nothing_until_s)
+        self.empty_until_s.append(empty_until_s)
         return ready
 
 
 class SoakLoop(asyncio.SelectorEventLoop):
-    """The soak's event loop."""
+    """The soak's event loop, which records when events can have arrived."""
 
     def __init__(self) -> None:
-        self.turn_selector = TurnSelector()
-        super().__init__(self.turn_selector)
+        self.arrival_selector = ArrivalSelector()
+        super().__init__(self.arrival_selector)
 
 
-def _nothing_until_s() -> deque[float]:
+def _empty_until_s() -> deque[float]:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, SoakLoop)
-    return loop.turn_selector.nothing_until_s
+    return loop.arrival_selector.empty_until_s
 
 
-def came_after_s() -> float:
-    """Returns the earliest time at which what this turn has read can have come, monotonic seconds."""
-    return _nothing_until_s()[-1]
+def earliest_arrival_s() -> float:
+    """Returns the earliest time at which data read in this iteration can have arrived, monotonic seconds."""
+    return _empty_until_s()[-1]
 
 
-def accepted_after_s() -> float:
-    """Returns the same of a connection that this turn has made a transport for, and of its first bytes."""
-    return _nothing_until_s()[0]
+def earliest_accept_s() -> float:
+    """Returns the same for a connection that got its transport in this iteration, and for its first bytes."""
+    return _empty_until_s()[0]
 
 
 class TimedReader(asyncio.StreamReader):
-    """A stream that notes the earliest time at which its last bytes, or its end, can have come.
+    """A stream that records the earliest time at which its last bytes, or its end, can have arrived.
 
     Attributes:
-        came_after_s: That time, monotonic seconds.
+        earliest_arrival_s: That time, monotonic seconds.
     """
 
-    came_after_s = 0.0
+    earliest_arrival_s = 0.0
 
     @property
-    def has_unread(self) -> bool:
-        """Whether bytes have come that nobody has read, as on a loop whose timers are run first."""
-        return bool(self._buffer)  # type: ignore[attr-defined]  # the base class has no other way to tell
+    def has_unread_bytes(self) -> bool:
+        """Whether received bytes are still unread, as when the loop runs a timeout before the reader."""
+        return bool(self._buffer)  # type: ignore[attr-defined]  # the base class has no public equivalent
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Takes bytes."""
-        self.came_after_s = came_after_s()
+        """Buffers received bytes and records when they can have arrived."""
+        self.earliest_arrival_s = earliest_arrival_s()
         super().feed_data(data)
 
     def feed_eof(self) -> None:
-        """Takes the end."""
-        self.came_after_s = came_after_s()
+        """Records when the end of the stream can have arrived."""
+        self.earliest_arrival_s = earliest_arrival_s()
         super().feed_eof()
 
     def set_exception(self, error: Exception) -> None:
-        """Takes an end by an error."""
-        self.came_after_s = came_after_s()
+        """Records when an error that ends the stream can have arrived."""
+        self.earliest_arrival_s = earliest_arrival_s()
         super().set_exception(error)
 
 
 def has_ended(writer: asyncio.StreamWriter) -> bool:
-    """Whether the peer has ended the connection by now, read or not."""
+    """Whether the peer has closed the connection, even if the loop has not read that yet."""
     connection = writer.get_extra_info("socket")
     try:
         with socket.socket(fileno=os.dup(connection.fileno())) as same:
@@ -117,7 +118,7 @@
 
 
 async def open_timed_connection(host: str, port: int) -> tuple[TimedReader, asyncio.StreamWriter]:
-    """Opens a connection whose reader notes times.
+    """Opens a connection whose reader records arrival times.
 
     Raises:
         OSError: It can't be opened.
@@ -131,9 +132,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessorWait:
-    """How long a process was ready to run and was not run, in a span of time; monotonic seconds.
+    """How long a process was ready to run but had no processor within a span of time; monotonic seconds.
 
-    Linux tells a wait once it is over: it may have begun long before the sample that did not show it.
+    Linux counts a wait when it is over, so it may have begun long before the previous sample.
     """
 
     name: str
@@ -142,8 +143,8 @@
     waited_s: float
     ran_s: float
 
-    def within_s(self, from_s: float, until_s: float) -> float:
-        """Returns how much of it may lie within a span of time."""
+    def overlap_s(self, from_s: float, until_s: float) -> float:
+        """Returns the most of the wait that can lie within a span of time."""
         return min(self.waited_s, max(0.0, min(self.until_s, until_s) - max(self.from_s, from_s)))
 
     def describe(self) -> str:
