--- a/benchmarks/fault_points.py
+++ b/benchmarks/fault_points.py
@@ -19,9 +19,9 @@
 QUICK_PASSES_PER_POINT = 12
 
 
-def table(report: SweepReport) -> str:
-    """A row for each point in Markdown."""
-    rows = ["| point | faults put to it | what held |", "| --- | --- | --- |"]
+def format_table(report: SweepReport) -> str:
+    """Returns a Markdown table with a row for each point."""
+    rows = ["| point | injected faults | invariant |", "| --- | --- | --- |"]
     for point in CATALOGUE:
         kinds = ", ".join(kind.value for kind in point.kinds)
         faults = report.faults_by_point[point.name]
@@ -30,7 +30,7 @@
 
 
 def main() -> int:
-    """Parses the command line and runs the sweep; its exit code."""
+    """Runs the sweep of the command line; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--table", action="store_true")
@@ -41,7 +41,7 @@
     for name in report.unreached:
         print(f"never reached: {name}")
     if arguments.table:
-        print(table(report))
+        print(format_table(report))
     print(report.line())
     return 1 if report.violations or report.unreached else 0
 
--- a/benchmarks/lease_kills.py
+++ b/benchmarks/lease_kills.py
@@ -1,13 +1,13 @@
-"""DNS leases over kills: a server in slow start is named and sent no more than its budget.
+"""DNS leases over kills: a server in slow start gets no more DNS answers and requests than its budget allows.
 
     python -m benchmarks.lease_kills [--kills 200] [--seed 1] [--forget]
 
-A server has just started. A director with a DNS server and a store is asked for names by resolvers and for
-objects by clients, and killed with SIGKILL at a drawn moment; its next run goes on, four runs to a round.
-Counted are the answers that resolvers received, which they cache for minutes, and the requests that the
-server received: in no window of the settings' length may both together exceed `fall_multiple` times its
-capacity then. `--forget` empties the store between the runs: then answers are given anew by each run, and the
-check has to find rounds over the budget.
+A server has just started. Resolvers query a director with a DNS server and a store for names, and clients
+request objects from it. It is killed with SIGKILL at a random time and started again, four runs to a round.
+The load is that of the DNS answers that resolvers received, which they cache for minutes, and of the requests
+that the server received. In no window of `tip_after_ms` may it exceed `fall_multiple` times the server's
+capacity at that time. `--forget` empties the store between the runs: each run then gives DNS answers without
+knowledge of earlier ones, and the check has to find rounds over the budget.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from .director_process import DirectorProcess
 
 RUNS_PER_ROUND = 4
-CAPACITY = 64.0  # transfers at a time of the server once it is warm
+CAPACITY = 64.0  # concurrent transfers of a warm server
 TRANSFER_MS = 20.0
 SLOW_START_HOST = "127.0.0.2"
 RESOLVER_COUNT, CLIENT_COUNT = 4, 4
@@ -47,19 +47,19 @@
 
 @dataclass(slots=True)
 class SlowStartServer:
-    """The server in slow start: since when it runs, and what it was asked for."""
+    """The server in slow start: when it started, and the requests and DNS answers that name it."""
 
     started_at_ms: float
     requests_ms: list[float] = field(default_factory=list)
     answers_ms: dict[tuple[str, str], float] = field(default_factory=dict)  # by resolver and name
 
     async def serve(self, request: ReceivedRequest) -> None:
-        """Records a request and answers it."""
+        """Records a request and responds to it."""
         self.requests_ms.append(wall_ms())
         await serve_warm(request)
 
     def max_load(self) -> float:
-        """Returns the load of the fullest window as a part of its budget."""
+        """Returns the load of the window with the highest load, as a fraction of its budget."""
         window_ms, multiple = RULES["tip_after_ms"], RULES["fall_multiple"]
         initial = RULES["cold_from"]
         highest = 0.0
@@ -73,51 +73,51 @@
 
 
 async def serve_warm(request: ReceivedRequest) -> None:
-    """Answers as a server at full capacity does."""
+    """Responds as a server at full capacity does."""
     await asyncio.sleep(TRANSFER_MS / 1_000.0)
     await request.answer(200, b"copy", X_Remark="mem")
 
 
-async def resolve(run: DirectorProcess, server: SlowStartServer, draw: random.Random, source: str) -> None:
-    """Asks for ever new names as a resolver that caches whatever it receives, until the run ends."""
+async def resolve(run: DirectorProcess, server: SlowStartServer, rng: random.Random, source: str) -> None:
+    """Queries a new name each time until the run ends, as a resolver that caches every answer."""
     resolver = StubResolver(run.dns, min_cache_s=3_600.0, source_host=source)
     while run.is_up:
-        name = f"0.{draw.getrandbits(40):x}.lot-page.cdn.example."
+        name = f"0.{rng.getrandbits(40):x}.lot-page.cdn.example."
         with contextlib.suppress(OSError, TimeoutError):
             if SLOW_START_HOST in await resolver.resolve(name):
                 server.answers_ms[source, name] = wall_ms()
         await asyncio.sleep(0.002)
 
 
-async def send_requests(run: DirectorProcess, draw: random.Random) -> None:
-    """Asks for ever new objects as a client, until the run ends."""
+async def send_requests(run: DirectorProcess, rng: random.Random) -> None:
+    """Requests a new object each time as a client, until the run ends."""
     while run.is_up:
-        await run.request_object(f"{draw.getrandbits(40):x}", draw.getrandbits(60))
+        await run.request_object(f"{rng.getrandbits(40):x}", rng.getrandbits(60))
 
 
-async def play_run(run: DirectorProcess, server: SlowStartServer, draw: random.Random) -> None:
-    """Lets resolvers and clients ask a director that runs, and kills it."""
+async def run_until_kill(run: DirectorProcess, server: SlowStartServer, rng: random.Random) -> None:
+    """Runs resolvers and clients against a director, and kills it at a random time."""
     tasks = [
-        asyncio.create_task(resolve(run, server, random.Random(draw.random()), f"127.0.1.{number}"))
+        asyncio.create_task(resolve(run, server, random.Random(rng.random()), f"127.0.1.{number}"))
         for number in range(1, RESOLVER_COUNT + 1)
     ]
     tasks += [
-        asyncio.create_task(send_requests(run, random.Random(draw.random()))) for _ in range(CLIENT_COUNT)
+        asyncio.create_task(send_requests(run, random.Random(rng.random()))) for _ in range(CLIENT_COUNT)
     ]
-    await asyncio.sleep(0.2 + draw.random() * 0.4)
+    await asyncio.sleep(0.2 + rng.random() * 0.4)
     await run.kill()
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def play_round(folder: Path, draw: random.Random, runs: int, forget: bool) -> SlowStartServer:
-    """Plays some runs of one director over one slow start."""
+async def run_round(folder: Path, rng: random.Random, runs: int, forget: bool) -> SlowStartServer:
+    """Executes some runs of one director during one slow start of a server."""
     server, coordinator = SlowStartServer(wall_ms()), await Coordinator().start()
-    starting = ScriptedServer(
+    starting_server = ScriptedServer(
         server.serve, "c0", capacity=CAPACITY, host=SLOW_START_HOST, boot_ms=server.started_at_ms
     )
-    peers = [await starting.start()]
+    peers = [await starting_server.start()]
     for number in (1, 2):
         host = f"127.0.0.{number + 2}"
         peers.append(await ScriptedServer(serve_warm, f"c{number}", capacity=CAPACITY, host=host).start())
@@ -128,7 +128,7 @@
     options_path.write_text(options_path.read_text() + DNS)
     for _ in range(runs):
         await run.start(config)
-        await play_run(run, server, draw)
+        await run_until_kill(run, server, rng)
         if forget:
             shutil.rmtree(folder / "store")
     coordinator.stop()
@@ -137,12 +137,12 @@
     return server
 
 
-async def play(kills: int, seed: int, forget: bool) -> int:
-    """Plays all rounds and prints the figures; returns 1 if a round was over its budget."""
-    draw, servers = random.Random(seed), []
+async def run_rounds(kills: int, seed: int, forget: bool) -> int:
+    """Executes all rounds and prints the measurements; returns 1 if a round was over its budget."""
+    rng, servers = random.Random(seed), []
     for _ in range(-(-kills // RUNS_PER_ROUND)):
         with tempfile.TemporaryDirectory() as folder:
-            servers.append(await play_round(Path(folder), draw, RUNS_PER_ROUND, forget))
+            servers.append(await run_round(Path(folder), rng, RUNS_PER_ROUND, forget))
     loads = sorted(server.max_load() for server in servers)
     rounds_over = sum(load > 1.0 for load in loads)
     print(
@@ -156,13 +156,13 @@
 
 
 def main() -> int:
-    """Runs the benchmark as the command line says."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="DNS leases over kills.")
     parser.add_argument("--kills", type=int, default=200)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--forget", action="store_true")
     arguments = parser.parse_args()
-    return asyncio.run(play(arguments.kills, arguments.seed, arguments.forget))
+    return asyncio.run(run_rounds(arguments.kills, arguments.seed, arguments.forget))
 
 
 if __name__ == "__main__":
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.leases [--sizes 10000,100000,1000000]
 
-Leases of 64 places, drawn from a seed, expire over five minutes in the order they were granted. Printed are
-the bytes of each, the time of one answer (available capacity and a new lease) at that size beside an empty
-table, and the longest time that the expiry of one second took.
+Leases of 64 places, generated from a seed, expire over five minutes in the order they were granted. For each
+size, it prints the bytes of a lease, the time for one DNS answer (available capacity and a new lease) with
+the full table and with an empty one, and the longest time that the expiry of one second's leases took.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 PLACE_COUNT = 64
 OBJECT_BITS = 52
 WEIGHT = 0.02
-BOUND = 1e9  # of a place: never reached
+BOUND = 1e9  # of the weight of a place: never reached
 ANSWER_COUNT = 20_000
 EXPIRY_SECONDS = 700
 
 
 def fill(size: int, seed: int) -> tuple[DnsLeaseTable, float]:
-    """Returns a table with `size` leases, granted evenly over the time of one, and the time after that."""
-    draw, table, now_ms = random.Random(seed), DnsLeaseTable(), START_MS
+    """Returns a table with `size` leases, granted evenly over one lease duration, and the time at its end."""
+    rng, table, now_ms = random.Random(seed), DnsLeaseTable(), START_MS
     for number in range(size):
         now_ms = START_MS + LEASE_MS * 0.99 * number / size
-        resolver = f"192.0.2.{draw.randrange(256)}"
-        key = (draw.getrandbits(OBJECT_BITS), 0)
+        resolver = f"192.0.2.{rng.randrange(256)}"
+        key = (rng.getrandbits(OBJECT_BITS), 0)
         table.grant(f"p{number % PLACE_COUNT}", resolver, key, now_ms + LEASE_MS, WEIGHT)
     return table, now_ms
 
 
 def time_answer_us(table: DnsLeaseTable, now_ms: float) -> float:
-    """Returns the mean time of one answer in microseconds: the available capacity, and the lease."""
-    draw = random.Random(2)
+    """Returns the mean time for one DNS answer in microseconds: the available capacity and the lease."""
+    rng = random.Random(2)
     questions = [
-        (f"p{draw.randrange(PLACE_COUNT)}", draw.getrandbits(OBJECT_BITS)) for _ in range(ANSWER_COUNT)
+        (f"p{rng.randrange(PLACE_COUNT)}", rng.getrandbits(OBJECT_BITS)) for _ in range(ANSWER_COUNT)
     ]
     began = time.perf_counter()
     for place, key in questions:
@@ -52,7 +52,7 @@
 
 
 def time_expiry_seconds(table: DnsLeaseTable, now_ms: float) -> tuple[float, float]:
-    """Expires every lease, second by second; returns the longest step and all of them together."""
+    """Expires every lease, second by second; returns the longest and the total time in seconds."""
     longest = total = 0.0
     for second in range(EXPIRY_SECONDS):
         began = time.perf_counter()
--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -3,12 +3,12 @@
     python -m benchmarks.members_faults [--quick] [--directors 3 5 7] [--runs N] [--plot FILE.png]
     python -m benchmarks.members_faults --memory 64,256,1024 [--plot FILE.png]
 
-Each case of `faultnet/membership_cases.py` is played to a fleet of processes with relays between every
-ordered pair, four fleets at a time; `--quick` is 5 directors once. A line a case: unexpected deaths, times
-until each other member declared a victim dead, until all held all for members again after the fault
-(0: nobody was ever lost), and bytes and datagrams a second for each member while it was played. The last line
-sums up: `converge_max_ms` is the partition's. `--memory` plays the same schedules without processes, in
-virtual time; 1,024 members take some minutes a case.
+Each case of `faultnet/membership_cases.py` is run on a fleet of processes with relays between every ordered
+pair, four fleets at a time; `--quick` is one run with 5 directors. It prints a line for each case: unexpected
+deaths, the times until each other member declared a victim dead, the time from the end of the fault until
+every member listed all others again (0: no member was removed), and bytes and datagrams a second for each
+member during the case. The last line is a summary, where `converge_max_ms` is that of the partition.
+`--memory` runs the same schedules without processes, in virtual time; 1,024 members take some minutes a case.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 MAX_STALL_MS = MembershipConfig().max_stall_ms
 MAX_CONCURRENT_FLEETS = 4
 SETTLE_SECONDS = 2.0
-MAX_CONVERGE_SECONDS = 20.0  # for a fleet to meet, and to agree again
+MAX_CONVERGE_SECONDS = 20.0  # until all members know each other, at first and after a fault
 SIMULATED_SETTLE_MS = 8_000.0
 SIMULATED_CONVERGE_MS = 10_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """Outcome of one case in one fleet; an infinite time stands for one that never came."""
+    """Outcome of one case in one fleet; a time is infinite if the event did not happen."""
 
     case: FaultCase
     members: int
@@ -61,12 +61,12 @@
     traffic: Traffic
 
     def line(self) -> str:
-        """Text of one line of the output."""
+        """Returns the line that is printed for this result."""
         times_ms = sorted(self.detection_ms)
-        found = f"{times_ms[len(times_ms) // 2]:.0f}, {times_ms[-1]:.0f}" if times_ms else "-"
+        measured = f"{times_ms[len(times_ms) // 2]:.0f}, {times_ms[-1]:.0f}" if times_ms else "-"
         return (
             f"{self.case.name:20} {self.members:5}  wrong {self.unexpected_deaths}  "
-            f"detect p50, max {found:12} converge {self.convergence_ms:6.0f}  "
+            f"detect p50, max {measured:12} converge {self.convergence_ms:6.0f}  "
             f"{self.traffic.bytes_per_second:7.0f} bytes/s "
             f"{self.traffic.datagrams_per_second:5.1f} datagrams/s"
         )
@@ -76,19 +76,19 @@
     case: FaultCase,
     names: tuple[str, ...],
     changes: list[ObservedChange],
-    begun_ms: float,
+    started_ms: float,
     traffic: Traffic,
 ) -> Result:
-    """Checks the history of a fleet to which a case was played from `begun_ms` on."""
+    """Checks the history of a fleet on which a case was run from `started_ms` on."""
     faults = case.faults(names)
-    ended_ms = begun_ms + max(fault.at_ms + fault.duration_ms for fault in faults)
-    expected = expected_failures(faults, names, begun_ms, MAX_STALL_MS)
+    ended_ms = started_ms + max(fault.at_ms + fault.duration_ms for fault in faults)
+    expected = expected_failures(faults, names, started_ms, MAX_STALL_MS)
     detection_ms: tuple[float, ...] = ()
     if case.must_be_found_dead:
         victim = faults[0].targets[0]
         observers = set(names) - {victim}
-        found = detection_times_ms(changes, victim, begun_ms, observers)
-        detection_ms = (*found.values(), *[math.inf] * (len(observers) - len(found)))
+        measured = detection_times_ms(changes, victim, started_ms, observers)
+        detection_ms = (*measured.values(), *[math.inf] * (len(observers) - len(measured)))
     convergence_ms = convergence_time_ms(changes, ended_ms, names)
     return Result(
         case,
@@ -101,26 +101,26 @@
 
 
 def count_traffic(fleet: Fleet) -> TrafficCount:
-    """Counts what directors have sent, as the relays saw it."""
+    """Counts the bytes and datagrams of the directors that reached the relays."""
     relays = [link.members for link in fleet.links.values() if link.members is not None]
     sent_bytes = sum(relay.received_bytes for relay in relays)
     return TrafficCount(time.monotonic(), sent_bytes, sum(relay.received_datagrams for relay in relays))
 
 
 async def has_converged(fleet: Fleet, within_seconds: float) -> bool:
-    """Waits until all hold all for members; returns whether they do in time."""
-    ends = time.monotonic() + within_seconds
+    """Waits until every member lists all others; returns whether that happens in time."""
+    deadline = time.monotonic() + within_seconds
     while convergence_time_ms(fleet.observed_changes(), 0.0, fleet.names) is None:
-        if time.monotonic() > ends:
+        if time.monotonic() > deadline:
             return False
         await asyncio.sleep(0.1)
     return True
 
 
-async def play_to_processes(
+async def run_on_processes(
     case: FaultCase, members: int, seed: int, concurrency: asyncio.Semaphore
 ) -> Result:
-    """Plays a case to a fleet of processes and prints its result."""
+    """Runs a case on a fleet of processes and prints its result."""
     names = tuple(f"n{index}" for index in range(members))
     async with concurrency:
         coordinator = await Coordinator().start()
@@ -128,7 +128,7 @@
             config = config_for([], coordinator)
             fleet = await Fleet(Path(folder), names, config, seed, None, {}).open()
             try:
-                result = await play_case(fleet, case)
+                result = await run_case(fleet, case)
             finally:
                 await fleet.close()
                 coordinator.stop()
@@ -136,34 +136,34 @@
         return result
 
 
-async def play_case(fleet: Fleet, case: FaultCase) -> Result:
-    """Starts a fleet, plays a case to it and waits until its members agree again."""
+async def run_case(fleet: Fleet, case: FaultCase) -> Result:
+    """Starts a fleet, runs a case on it and waits until every member lists all others again."""
     for name in fleet.names:
         await fleet.start(name)
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
-    before, begun_ms = count_traffic(fleet), time.time() * 1000.0
+    before, started_ms = count_traffic(fleet), time.time() * 1000.0
     await play_schedule(fleet, case.faults(fleet.names))
     traffic = before.rate_until(count_traffic(fleet), len(fleet.names))
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
-    return evaluate(case, fleet.names, fleet.observed_changes(), begun_ms, traffic)
+    return evaluate(case, fleet.names, fleet.observed_changes(), started_ms, traffic)
 
 
-def play_to_simulation(case: FaultCase, size: int, seed: int) -> Result:
-    """Plays a case to a simulated network and prints its result."""
+def run_in_simulation(case: FaultCase, size: int, seed: int) -> Result:
+    """Runs a case on a simulated network and prints its result."""
     net = cluster(size, seed, settle_ms=SIMULATED_SETTLE_MS)
-    names, begun_ms, before = tuple(net.nodes), net.now_ms, count_simulated(net)
+    names, started_ms, before = tuple(net.nodes), net.now_ms, count_simulated(net)
     play_simulated(net, case.faults(names))
     traffic = before.rate_until(count_simulated(net), size)
     net.run(SIMULATED_CONVERGE_MS)
-    result = evaluate(case, names, net.observed, begun_ms, traffic)
+    result = evaluate(case, names, net.observed, started_ms, traffic)
     print(result.line(), flush=True)
     return result
 
 
 def summary(results: list[Result]) -> str:
-    """Text of the last line."""
+    """Returns the last line of the output."""
     times_ms = sorted(
         ms for result in results if result.case.kind == FaultKind.KILL for ms in result.detection_ms
     )
@@ -175,7 +175,7 @@
     )
 
 
-def draw(results: list[Result], path: str) -> None:
+def plot_results(results: list[Result], path: str) -> None:
     """Plots detection and convergence over the fleet size, a line for each case."""
     import matplotlib
 
@@ -203,24 +203,24 @@
     figure.savefig(path, dpi=110)
 
 
-async def play_all_to_processes(sizes: list[int], runs: int) -> list[Result]:
-    """Plays every case to fleets of each size that have all its victims."""
+async def run_all_on_processes(sizes: list[int], runs: int) -> list[Result]:
+    """Runs every case on fleets of each size that is large enough for its targets."""
     concurrency = asyncio.Semaphore(MAX_CONCURRENT_FLEETS)
-    plays = [
-        play_to_processes(case, size, run, concurrency)
+    runs_of_cases = [
+        run_on_processes(case, size, run, concurrency)
         for size in sizes
         for run in range(runs)
         for case in CASES
         if size > max(case.victims, default=0)
     ]
-    return list(await asyncio.gather(*plays))
+    return list(await asyncio.gather(*runs_of_cases))
 
 
-def play_all_to_simulations(sizes: list[int], jobs: int) -> list[Result]:
-    """Plays every case to simulated networks of each size, so many at a time."""
+def run_all_in_simulation(sizes: list[int], jobs: int) -> list[Result]:
+    """Runs every case on simulated networks of each size, `jobs` at a time."""
     with ProcessPoolExecutor(max_workers=jobs) as pool:
-        plays = [pool.submit(play_to_simulation, case, size, 1) for size in sizes for case in CASES]
-        return [play.result() for play in plays]
+        runs_of_cases = [pool.submit(run_in_simulation, case, size, 1) for size in sizes for case in CASES]
+        return [run.result() for run in runs_of_cases]
 
 
 def main() -> int:
@@ -234,12 +234,12 @@
     parser.add_argument("--plot")
     options = parser.parse_args()
     if options.memory:
-        results = play_all_to_simulations([int(size) for size in options.memory.split(",")], options.jobs)
+        results = run_all_in_simulation([int(size) for size in options.memory.split(",")], options.jobs)
     else:
         sizes, runs = ([5], 1) if options.quick else (options.directors, options.runs)
-        results = asyncio.run(play_all_to_processes(sizes, runs))
+        results = asyncio.run(run_all_on_processes(sizes, runs))
     if options.plot:
-        draw(results, options.plot)
+        plot_results(results, options.plot)
     print(summary(results))
     return 0
 
