--- a/benchmarks/bids.py
+++ b/benchmarks/bids.py
@@ -2,8 +2,7 @@
 
     python -m benchmarks.bids [--seeds 20] [--count 2500] [--part 0.1]
 
-20 seeds of 2,500 bids are the 50,000 of the design note; they take some two minutes. Exit code 1 if a rule
-was broken.
+The default of 20 seeds with 2,500 bids each takes some two minutes. The exit code is 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 def h2c_options() -> Options:
-    """Options with HTTP/2 in the clear."""
+    """Returns options with HTTP/2 without TLS."""
     tables = read_option_tables({"http2": {"mode": "h2c"}})
     return build_options(tables, "benchmark", Path("."))
 
@@ -37,7 +36,7 @@
 
 
 def print_summary(name: str, reports: list[SoakReport]) -> bool:
-    """Prints what became of one protocol's writes; whether no rule was broken."""
+    """Prints the outcomes of one protocol's writes; returns whether no rule was broken."""
     statuses: Counter[int] = Counter()
     findings: Counter[str] = Counter()
     faults: Counter[str] = Counter()
@@ -51,8 +50,8 @@
     print(f"{name}: {sum(statuses.values())} bids over {len(reports)} seeds")
     print(f"  answers: {dict(sorted(statuses.items()))} (0: begun and cut)")
     print(f"  {violations_line(reports)}")
-    ratio = recovered / max(1, interrupted)
-    print(f"  met a break: {interrupted}; served all the same: {recovered} ({ratio:.1%})")
+    recovery_ratio = recovered / max(1, interrupted)
+    print(f"  met a break: {interrupted}; served all the same: {recovered} ({recovery_ratio:.1%})")
     if findings:
         proved = sum(findings[reason.value] for reason in UNPROCESSED_REASONS)
         print(f"  streams lost {sum(findings.values())}, of these with proof {proved}: {dict(findings)}")
@@ -64,7 +63,7 @@
 
 
 def violations_line(reports: list[SoakReport]) -> str:
-    """The counts of all rules that may be broken; each has to be 0."""
+    """Returns the line with the number of violations of each rule; all have to be 0."""
     return (
         f"ran twice {sum(len(report.executed_twice) for report in reports)}, "
         f"resent without proof {sum(len(report.retried_without_proof) for report in reports)}, "
@@ -75,7 +74,7 @@
 
 
 def main() -> int:
-    """Runs the benchmark; its exit code."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="Bids against boxes that break their connections.")
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--count", type=int, default=2_500)
@@ -85,8 +84,8 @@
     seeds, count, part = range(1, arguments.seeds + 1), arguments.count, arguments.part
     h2_reports = [run_soak(play_h2(seed, count, part, h2c_options())) for seed in seeds]
     http1_reports = [run_soak(play_http1(seed, count, part)) for seed in seeds]
-    are_kept = [print_summary("HTTP/2", h2_reports), print_summary("HTTP/1.1", http1_reports)]
-    return 0 if all(are_kept) else 1
+    results = [print_summary("HTTP/2", h2_reports), print_summary("HTTP/1.1", http1_reports)]
+    return 0 if all(results) else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -1,4 +1,4 @@
-"""A stand-in cache as a process: prints its address and answers every request after a delay.
+"""A stand-in cache server as a process: prints its address and responds to every request after a delay.
 
 python -m benchmarks.box h1|h2|tls DELAY_MS BYTES UID [CERTIFICATE_FOLDER]
 """
@@ -16,14 +16,14 @@
 
 
 class MinimalHttp1Server(asyncio.Protocol):
-    """HTTP/1.1 server with the least work for a request, since the director before it is measured."""
+    """HTTP/1.1 server with little work for each request, as the director in front is measured."""
 
     def __init__(self, response: bytes, delay_seconds: float) -> None:
         self.response, self.delay_seconds = response, delay_seconds
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
@@ -31,7 +31,7 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """Answers after the delay."""
+        """Responds after the delay."""
         asyncio.get_running_loop().call_later(self.delay_seconds, self._respond)
 
     def _respond(self) -> None:
@@ -40,7 +40,7 @@
 
 
 async def serve(kind: str, delay_seconds: float, body_bytes: int, uid: str, folder: str) -> None:
-    """Serves until the process is ended; `kind` is h1, h2 or tls, `folder` holds the certificate of tls."""
+    """Serves until the process is killed; `kind` is h1, h2 or tls, `folder` has the certificate for tls."""
     loop = asyncio.get_running_loop()
     body = bytes(body_bytes)
     if kind == "h1":
@@ -72,5 +72,7 @@
 
 
 if __name__ == "__main__":
-    words = [*sys.argv[1:], ""]
-    uvloop.run(serve(words[0], float(words[1]) / 1000.0, int(words[2]), words[3], words[4]))
+    arguments = [*sys.argv[1:], ""]
+    uvloop.run(
+        serve(arguments[0], float(arguments[1]) / 1000.0, int(arguments[2]), arguments[3], arguments[4])
+    )
--- a/benchmarks/director_process.py
+++ b/benchmarks/director_process.py
@@ -1,4 +1,4 @@
-"""A director with a store as a process of its own, to be killed and started again on the same directory."""
+"""A director with a store as a process, which can be killed and restarted on the same directory."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class DirectorStartError(Exception):
-    """A director ended before it served."""
+    """A director ended before it was ready to serve."""
 
 
 class DirectorProcess:
-    """One director; it serves on other ports after each start."""
+    """One director; it listens on new ports after each start."""
 
     def __init__(self, directory: Path, policy: str) -> None:
         self.directory = directory
@@ -32,14 +32,18 @@
             f"[store]\nfolder = 'store'\npolicy = '{policy}'\n[control]\nsocket = 'control'\n"
         )
         self.address = self.dns = self.dns_tls = NO_ADDRESS
-        self.is_up = False  # for loops of clients: a cancelled wait can end well at the same moment
+        self.is_up = False  # client loops check this: a wait may succeed just as it is cancelled
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self, config: dict[str, Any]) -> float:
-        """Starts it; returns how many seconds it took until it served. Raises `DirectorStartError`."""
+        """Starts the process and waits until it serves; returns the seconds that this took.
+
+        Raises:
+            DirectorStartError: The process ended before.
+        """
         config_path = self.directory / "node.json"
         config_path.write_text(json.dumps(config))
-        began = time.monotonic()
+        started = time.monotonic()
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "gladewalk", "run", "--config", str(self.directory / "own.toml"),
             env={**os.environ, "NODE_CONFIG": str(config_path)}, stderr=asyncio.subprocess.PIPE,
@@ -51,30 +55,34 @@
                 self.address, self.dns = tuple(logged["listen"]), tuple(logged["dns"] or NO_ADDRESS)
                 self.dns_tls = tuple(logged.get("dns_tls") or NO_ADDRESS)
                 self.is_up = True
-                return time.monotonic() - began
+                return time.monotonic() - started
         raise DirectorStartError(f"the director on {self.directory} did not start")
 
     async def kill(self) -> None:
-        """Kills it with SIGKILL and waits for its end."""
+        """Kills the process with SIGKILL and waits for its end."""
         assert self._process is not None
         self.is_up = False
         self._process.kill()
         await self._process.wait()
 
     async def store_status(self) -> dict[str, Any]:
-        """What its control socket says of its store. Raises `ControlError`."""
+        """Returns the status of its store from its control socket.
+
+        Raises:
+            ControlError: The control socket does not respond.
+        """
         status: dict[str, Any] = await asyncio.to_thread(query_director, self.directory / "control", "store")
         return status
 
     async def durable_purges(self) -> set[str]:
-        """The objects whose purges its store has acknowledged; none while it can't be asked."""
+        """Returns the objects whose purges are durable in its store; empty while it can't be queried."""
         with contextlib.suppress(ControlError):
             status = await self.store_status()
             return {key.partition(":")[2] for key in status["purges"]}
         return set()
 
     async def request_object(self, name: str, number: int) -> None:
-        """Sends one client's request, whatever comes of it."""
+        """Sends one request as a client and ignores its outcome."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
             reader, writer = await asyncio.open_connection(*self.address)
             try:
--- a/benchmarks/rehearsal_speed.py
+++ b/benchmarks/rehearsal_speed.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.rehearsal_speed [--sizes 3x17,30x200] [--seconds 10] [--per-director 20]
 
-Each size is DIRECTORSxCACHES, with a parent cache for every four caches; every director gets so many requests
-a second. Each runs in a process of its own: its peak memory is that of the run.
+Each size is DIRECTORSxCACHES, with a parent cache for every four caches; every director gets `--per-director`
+requests a second. Each size runs in a process of its own, so that the process's peak memory is the run's.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Measurement(NamedTuple):
-    """One run; the speed is in virtual seconds for each second."""
+    """One run; the speed is in virtual seconds per second."""
 
     speed: float
     request_count: int
@@ -32,7 +32,7 @@
 
 
 def measure(directors: int, caches: int, duration_s: float, requests_per_director_s: float) -> Measurement:
-    """Runs a scenario without faults, and measures the process that this runs in."""
+    """Runs a scenario without faults; measures its speed and the peak memory of this process."""
     silence_logs()
     fleet = FleetTable(directors=directors, caches=caches, parents=max(1, caches // CACHES_PER_PARENT))
     requests_per_s = requests_per_director_s * directors
--- a/benchmarks/response_latency.py
+++ b/benchmarks/response_latency.py
@@ -3,7 +3,7 @@
     python -m benchmarks.response_latency [--tree FOLDER ...] [--requests 1500] [--open 8]
 
 Each tree is a checkout whose `gladewalk` is run as a process; the trees are measured in turn, twice. A
-stand-in cache writes each object in pieces of 16 KB; a closed loop keeps so many requests open.
+stand-in cache writes each object in pieces of 16 KB. `--open` clients each send one request after another.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 async def serve(request: ReceivedRequest) -> None:
-    """Answers with as many bytes as the part says."""
+    """Responds with as many bytes as the request's part number."""
     size = int(request.path.rsplit("/", 1)[1])
     request.writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {size}\r\nTag: a\r\n\r\n".encode())
     for start in range(0, size, PIECE_BYTES):
@@ -39,7 +39,7 @@
         await request.writer.drain()
 
 
-async def ask(
+async def send_requests(
     address: tuple[str, int], client: int, size: int, count: int, latencies_us: HdrHistogram
 ) -> None:
     """Sends requests one after another on one connection."""
@@ -76,10 +76,12 @@
     for size in SIZES:
         latencies_us, before_s = HdrHistogram(1, 60_000_000, 3), cpu_s(process.pid)
         count = requests // open_requests
-        clients = (ask(address, client, size, count, latencies_us) for client in range(open_requests))
+        clients = (
+            send_requests(address, client, size, count, latencies_us) for client in range(open_requests)
+        )
         await asyncio.gather(*clients)
         cpu_us = 1e6 * (cpu_s(process.pid) - before_s) / (count * open_requests)
-        p50, p99 = (latencies_us.get_value_at_percentile(one) / 1000.0 for one in (50, 99))
+        p50, p99 = (latencies_us.get_value_at_percentile(percentile) / 1000.0 for percentile in (50, 99))
         memory = peak_mb(process.pid)
         latency = f"p50 {p50:6.2f} ms  p99 {p99:6.2f} ms"
         print(f"{name:8} {size:7} bytes  {latency}  CPU {cpu_us:5.0f} us  peak {memory:5.1f} MB")
@@ -105,7 +107,7 @@
 
 
 def main() -> None:
-    """Measures what the command line says."""
+    """Measures the trees of the command line."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.response_latency")
     parser.add_argument("--tree", type=Path, action="append")
     parser.add_argument("--requests", type=int, default=1_500)
--- a/benchmarks/silent_box.py
+++ b/benchmarks/silent_box.py
@@ -1,11 +1,12 @@
-"""Requests sent to a cache that stops answering under light traffic, with shared health checks and without.
+"""Requests sent to a cache that stops responding under light traffic, with and without shared health checks.
 
     python -m benchmarks.silent_box [--rounds 10] [--directors 4] [--rate 4] [--seed 1]
 
-Four directors in one process, twelve caches; each director gets `rate` requests a second for objects of its
-own. At a random time one cache accepts connections and answers nothing any more. Counted from then on, with
-shared tasks and without, in turn: attempts sent to the silent cache, requests answered late or never, and
-when a director last sent it one. With shared tasks, one director of all checks each cache every 250 ms.
+Four directors run in one process, with twelve caches; each director gets `rate` requests a second for objects
+of its own. At a random time one cache stops responding but still accepts connections. From then on, with
+shared tasks and without, it counts the attempts sent to this cache, the requests that are served late or not
+served, and the time of the last attempt. With shared tasks, one of the directors checks each cache every
+250 ms.
 """
 
 from __future__ import annotations
@@ -34,28 +35,28 @@
 CACHE_COUNT = 12
 LATENCY_OBJECTIVE_MS = 250.0  # of `lot-page` in the rehearsal's settings
 OBSERVED_SECONDS = 8.0
-SILENT_SECONDS = 60.0  # for which a silent cache keeps a request
+STALL_SECONDS = 60.0  # an unresponsive cache keeps a request for this long
 COUNTS = ("requests", "attempts", "late", "failed", "last_attempt_seconds", "health_checks")
 
 
 @dataclass(slots=True)
 class Round:
-    """One round and what was counted in it from the silence on.
+    """One round, with counts from the time when one cache stopped responding.
 
     Attributes:
         is_shared: Whether the directors share health checks.
-        silent: The name of the silent cache; empty before.
-        silent_since: When it became silent, seconds of the monotonic clock.
-        attempts: Attempts sent to the silent cache, health checks not included.
-        last_attempt_seconds: When the last of them was sent, from the silence on.
+        unresponsive: The name of the cache that stopped responding; empty before.
+        unresponsive_since: When it stopped responding, monotonic seconds.
+        attempts: Attempts sent to the unresponsive cache, without health checks.
+        last_attempt_seconds: Seconds from then until the last of these attempts.
         late: Requests that were served after their latency objective.
         failed: Requests that were not served.
     """
 
     is_shared: bool
     directors: list[Director] = field(default_factory=list)
-    silent: str = ""
-    silent_since: float = 0.0
+    unresponsive: str = ""
+    unresponsive_since: float = 0.0
     attempts: int = 0
     last_attempt_seconds: float = 0.0
     late: int = 0
@@ -63,22 +64,22 @@
     requests: int = 0
     health_checks: int = 0
 
-    async def answer(self, heard: ReceivedRequest) -> None:
-        """Answers a request at a cache, unless that is silent."""
-        if heard.path == "/load":
+    async def respond(self, request: ReceivedRequest) -> None:
+        """Responds to a request at a cache, unless that cache is unresponsive."""
+        if request.path == "/load":
             self.health_checks += 1
-        if heard.server.uid != self.silent:
-            return await heard.answer(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
-        if heard.path != "/load":
+        if request.server.uid != self.unresponsive:
+            return await request.answer(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
+        if request.path != "/load":
             self.attempts += 1
-            self.last_attempt_seconds = time.monotonic() - self.silent_since
-        await asyncio.sleep(SILENT_SECONDS)
+            self.last_attempt_seconds = time.monotonic() - self.unresponsive_since
+        await asyncio.sleep(STALL_SECONDS)
 
 
 async def start_directors(
     round_: Round, count: int, caches: list[ScriptedServer], coordinator: Coordinator
 ) -> None:
-    """Starts the directors, and waits until they are members of one fleet where they share tasks."""
+    """Starts the directors; if they share tasks, waits until they are members of one fleet."""
     folder = Path(tempfile.mkdtemp())
     (folder / "keys").write_text("ab" * 32)
     (folder / "keys").chmod(0o600)
@@ -102,7 +103,7 @@
 
 
 async def send_request(round_: Round, director: Director, key: int) -> None:
-    """Sends one request for an object and counts its end."""
+    """Sends one request for an object and counts its outcome."""
     started = time.monotonic()
     reader, writer = await asyncio.open_connection(*director.front.address)
     try:
@@ -113,33 +114,33 @@
         status = 0
     finally:
         writer.close()
-    if round_.silent:
+    if round_.unresponsive:
         is_late = time.monotonic() - started > LATENCY_OBJECTIVE_MS / 1_000.0
         round_.requests += 1
         round_.failed += status != 200
         round_.late += status == 200 and is_late
 
 
-async def send_load(round_: Round, generator: random.Random, rate: float) -> None:
+async def send_load(round_: Round, rng: random.Random, rate: float) -> None:
     """Sends requests to each director by a Poisson process of this rate; each object is requested once."""
     tasks = set()
     while True:
         for director in round_.directors:
-            task = asyncio.create_task(send_request(round_, director, generator.getrandbits(63)))
+            task = asyncio.create_task(send_request(round_, director, rng.getrandbits(63)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
-        await asyncio.sleep(generator.expovariate(rate))
+        await asyncio.sleep(rng.expovariate(rate))
 
 
 async def run_round(is_shared: bool, director_count: int, rate: float, seed: int) -> Round:
     """Runs one round and returns its counts."""
-    generator, round_ = random.Random(seed), Round(is_shared)
+    rng, round_ = random.Random(seed), Round(is_shared)
     coordinator = await Coordinator().start()
-    caches = [await ScriptedServer(round_.answer, f"c{number}").start() for number in range(CACHE_COUNT)]
+    caches = [await ScriptedServer(round_.respond, f"c{number}").start() for number in range(CACHE_COUNT)]
     await start_directors(round_, director_count, caches, coordinator)
-    load = asyncio.create_task(send_load(round_, generator, rate))
-    await asyncio.sleep(2.0 + generator.random())
-    round_.silent_since, round_.silent = time.monotonic(), f"c{generator.randrange(CACHE_COUNT)}"
+    load = asyncio.create_task(send_load(round_, rng, rate))
+    await asyncio.sleep(2.0 + rng.random())
+    round_.unresponsive_since, round_.unresponsive = time.monotonic(), f"c{rng.randrange(CACHE_COUNT)}"
     await asyncio.sleep(OBSERVED_SECONDS)
     load.cancel()
     for director in round_.directors:
@@ -154,20 +155,20 @@
 
 
 def main() -> int:
-    """Runs the benchmark by its command line."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="A silent cache, with shared health checks and without.")
     parser.add_argument("--rounds", type=int, default=10)
     parser.add_argument("--directors", type=int, default=4)
     parser.add_argument("--rate", type=float, default=4.0)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     rounds = [
-        asyncio.run(run_round(is_shared, given.directors, given.rate, given.seed + number))
-        for number in range(given.rounds)
+        asyncio.run(run_round(is_shared, arguments.directors, arguments.rate, arguments.seed + number))
+        for number in range(arguments.rounds)
         for is_shared in (False, True)
     ]
-    print(f"{given.rounds} rounds each; {OBSERVED_SECONDS:.0f} s from the silence on; a round's mean")
+    print(f"{arguments.rounds} rounds each; {OBSERVED_SECONDS:.0f} s from the silence on; a round's mean")
     for is_shared in (False, True):
         selected = [round_ for round_ in rounds if round_.is_shared is is_shared]
         mean = {name: statistics.mean(getattr(round_, name) for round_ in selected) for name in COUNTS}
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,12 +1,12 @@
-"""The store beside SQLite (WAL, FULL) and LMDB on the same disk in one run; recovery, memory, amplification.
+"""The store compared with SQLite (WAL, FULL) and LMDB on the same disk; recovery, memory, amplification.
 
     python -m benchmarks.store [--writes 3000] [--open 1,16] [--records 10000,100000,1000000] [--folder DIR]
 
-Measures acknowledged writes a second, with so many writers waiting for theirs at a time, and p50 and p99 of
-a wait: for each sync policy of ours, and for the others with a sync at each commit; a commit of theirs takes
-all that waits, as ours does. The engines take turns, twice. Then, in a process of its own for each size, how
-long recovery takes and how much memory it needs. Values have 100 bytes. The folder should lie on the disk
-that counts.
+Measures acknowledged writes a second, and p50 and p99 of the time until a write is acknowledged, for each
+number of concurrent writers in `--open`. Our store runs with each of its sync policies, and the other engines
+sync at each commit. With all of them, a commit includes all waiting writes. The engines are measured in turn,
+twice. Then a separate process for each number of records measures the time and memory of recovery. Values
+have 100 bytes. The folder should be on the disk that is to be measured.
 """
 
 from __future__ import annotations
@@ -47,38 +47,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Measurement:
-    """One engine's turn: each write's wait, ascending, the whole time, and bytes written per byte given."""
+    """One measurement of an engine: sorted write latencies, total time, and bytes written per value byte."""
 
     waits_ms: list[float]
     seconds: float
     amplification: float = 0.0  # 0: not measured
 
     def quantile_ms(self, part: float) -> float:
-        """A quantile of the waits; `part` is under 1."""
+        """Returns a quantile of the latencies; `part` is under 1."""
         return self.waits_ms[int(len(self.waits_ms) * part)]
 
 
 def open_sqlite(directory: Path) -> Commit:
-    """A commit function of SQLite, which syncs its write-ahead log."""
-    base = sqlite3.connect(directory / "base.db", isolation_level=None, check_same_thread=False)
-    base.execute("PRAGMA journal_mode=WAL")
-    base.execute("PRAGMA synchronous=FULL")
-    base.execute("CREATE TABLE IF NOT EXISTS held (key TEXT PRIMARY KEY, value BLOB)")
+    """Returns a commit function of SQLite, which syncs its write-ahead log."""
+    database = sqlite3.connect(directory / "base.db", isolation_level=None, check_same_thread=False)
+    database.execute("PRAGMA journal_mode=WAL")
+    database.execute("PRAGMA synchronous=FULL")
+    database.execute("CREATE TABLE IF NOT EXISTS held (key TEXT PRIMARY KEY, value BLOB)")
 
     def commit(keys: list[str]) -> None:
-        base.execute("BEGIN")
-        base.executemany("INSERT OR REPLACE INTO held VALUES (?, ?)", [(key, VALUE) for key in keys])
-        base.execute("COMMIT")
+        database.execute("BEGIN")
+        database.executemany("INSERT OR REPLACE INTO held VALUES (?, ?)", [(key, VALUE) for key in keys])
+        database.execute("COMMIT")
 
     return commit
 
 
 def open_lmdb(directory: Path) -> Commit:
-    """A commit function of LMDB."""
-    base = lmdb.open(str(directory), map_size=1 << 30)
+    """Returns a commit function of LMDB."""
+    database = lmdb.open(str(directory), map_size=1 << 30)
 
     def commit(keys: list[str]) -> None:
-        with base.begin(write=True) as transaction:
+        with database.begin(write=True) as transaction:
             for key in keys:
                 transaction.put(key.encode(), VALUE)
 
@@ -89,7 +89,7 @@
 
 
 class GroupCommit:
-    """Another engine behind a thread as ours has it: a commit takes all that waits."""
+    """Another engine with a writer thread as in our store: a commit includes all waiting writes."""
 
     def __init__(self, commit: Commit) -> None:
         self._commit = commit
@@ -116,25 +116,25 @@
 
 
 async def measure(put: Put, writes: int, writers: int) -> tuple[list[float], float]:
-    """Each write's wait in milliseconds, ascending, and the whole time in seconds."""
+    """Returns the sorted latencies of the writes in milliseconds, and the total time in seconds."""
     waits_ms: list[float] = []
     remaining = iter(range(writes))
 
     async def write() -> None:
         for number in remaining:
-            began = time.perf_counter()
+            started = time.perf_counter()
             await put(f"k{number * KEY_STRIDE % KEY_COUNT}")
-            waits_ms.append((time.perf_counter() - began) * 1_000.0)
+            waits_ms.append((time.perf_counter() - started) * 1_000.0)
 
-    began = time.perf_counter()
+    started = time.perf_counter()
     await asyncio.gather(*(write() for _ in range(writers)))
-    seconds = time.perf_counter() - began
+    seconds = time.perf_counter() - started
     waits_ms.sort()
     return waits_ms, seconds
 
 
 async def measure_other(engine: str, directory: Path, writes: int, writers: int) -> Measurement:
-    """One turn of SQLite or LMDB."""
+    """Measures SQLite or LMDB once."""
     grouped = GroupCommit(OTHER_ENGINES[engine](directory))
     waits_ms, seconds = await measure(grouped.put, writes, writers)
     grouped.task.cancel()
@@ -142,7 +142,7 @@
 
 
 async def measure_ours(policy: SyncPolicy, directory: Path, writes: int, writers: int) -> Measurement:
-    """One turn of our store."""
+    """Measures our store once."""
     disk = StoreDirectory(directory)
     log = SegmentedLog(disk, wall_clock_ms)
     writer = StoreWriter(log, policy, GROUP_MS, Counters(), lambda event, why: None)
@@ -153,26 +153,26 @@
     return Measurement(waits_ms, seconds, log.written_bytes / (writes * len(VALUE)))
 
 
-def measure_all(writes: int, writers: int, place: str | None) -> dict[str, list[Measurement]]:
-    """All engines in turn, each `ROUNDS` times, each time in an empty directory below `place`."""
+def measure_all(writes: int, writers: int, parent_directory: str | None) -> dict[str, list[Measurement]]:
+    """Measures all engines in turn, `ROUNDS` times, each in an empty directory below `parent_directory`."""
     results: dict[str, list[Measurement]] = {}
     for _ in range(ROUNDS):
         for policy in POLICIES:
-            with tempfile.TemporaryDirectory(dir=place) as directory:
+            with tempfile.TemporaryDirectory(dir=parent_directory) as directory:
                 ours = asyncio.run(measure_ours(policy, Path(directory), writes, writers))
                 results.setdefault(policy, []).append(ours)
         for engine in OTHER_ENGINES:
-            with tempfile.TemporaryDirectory(dir=place) as directory:
+            with tempfile.TemporaryDirectory(dir=parent_directory) as directory:
                 other = asyncio.run(measure_other(engine, Path(directory), writes, writers))
                 results.setdefault(engine, []).append(other)
     return results
 
 
-def print_writes(writes: int, levels: list[int], place: str | None) -> None:
+def print_writes(writes: int, levels: list[int], parent_directory: str | None) -> None:
     """Prints the table of writes."""
     print("open  engine  writes/s  p50 ms  p99 ms  bytes written for each of a value")
     for writers in levels:
-        for engine, runs in measure_all(writes, writers, place).items():
+        for engine, runs in measure_all(writes, writers, parent_directory).items():
             rate = statistics.mean(writes / run.seconds for run in runs)
             p50_ms = statistics.mean(run.quantile_ms(0.5) for run in runs)
             p99_ms = statistics.mean(run.quantile_ms(0.99) for run in runs)
@@ -196,7 +196,7 @@
 
 
 def write_store(directory: Path, record_count: int) -> int:
-    """Writes a store of so many records; its size in bytes."""
+    """Writes a store with this number of records; returns its size in bytes."""
     disk = StoreDirectory(directory)
     log = SegmentedLog(disk, wall_clock_ms, LogConfig(RECOVERY_SEGMENT_BYTES, max_total_bytes=1 << 40))
     for number in range(record_count):
@@ -208,11 +208,11 @@
     return log.total_bytes
 
 
-def print_recovery(record_counts: list[int], place: str | None) -> None:
+def print_recovery(record_counts: list[int], parent_directory: str | None) -> None:
     """Prints the table of recovery."""
     print("records  recovery s  MB held at the most  bytes on disk")
     for count in record_counts:
-        with tempfile.TemporaryDirectory(dir=place) as directory:
+        with tempfile.TemporaryDirectory(dir=parent_directory) as directory:
             total_bytes = write_store(Path(directory), count)
             command = [sys.executable, "-c", RECOVERY_PROGRAM, directory, str(count)]
             output = subprocess.run(command, capture_output=True, text=True, check=True).stdout
@@ -221,7 +221,7 @@
 
 
 def main() -> int:
-    """Parses the command line and runs the benchmark; its exit code."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="The store beside others.")
     parser.add_argument("--writes", type=int, default=3_000)
     parser.add_argument("--open", default="1,16")
--- a/benchmarks/store_served.py
+++ b/benchmarks/store_served.py
@@ -1,11 +1,11 @@
-"""Latency of served requests while the store compacts, beside the same director whose store never has to.
+"""Latency of served requests while the store compacts, compared with a director whose store never compacts.
 
     python -m benchmarks.store_served [--seconds 6] [--rate 1000] [--rounds 3]
 
-Two directors as processes, in turn: both follow purges at the same rate and write each to their store; one
-has segments of 64 KB, which are full of garbage soon and compacted again and again, the other one segment
-that is never full. Clients ask for other objects all the while; printed are p50 and p99 of their waits, and
-the number of compactions.
+Two directors run as processes, in turn. Both receive purges at the same rate and write each one to their
+store. One store has segments of 64 KB, which soon consist of obsolete records and are compacted repeatedly;
+the other has one segment that never fills up. Meanwhile, clients request other objects. It prints p50 and p99
+of their latencies and the number of compactions.
 """
 
 from __future__ import annotations
@@ -30,49 +30,49 @@
 
 SEGMENT_BYTES = {"compacting": 65_536, "not": 1 << 30}
 CLIENT_COUNT = 4
-FIRST_PURGED_OBJECT, PURGED_OBJECT_COUNT = 4_096, 500  # others than those that are asked for
+FIRST_PURGED_OBJECT, PURGED_OBJECT_COUNT = 4_096, 500  # no client requests these
 TICK_SECONDS = 0.01
 TICKS_PER_SECOND = 100
 
 
 @dataclass(slots=True, frozen=True)
 class RoundResult:
-    """The waits of one round in milliseconds, and its compactions."""
+    """The latencies of one round in milliseconds, and its number of compactions."""
 
     p50_ms: float
     p99_ms: float
     compactions: int
 
 
-async def serve(heard: ReceivedRequest) -> None:
-    """Answers as a cache that has every object."""
-    await heard.answer(200, b"copy", X_Remark="mem")
+async def serve(request: ReceivedRequest) -> None:
+    """Responds as a cache that has every object."""
+    await request.answer(200, b"copy", X_Remark="mem")
 
 
 async def send_requests(
-    director: DirectorProcess, draw: random.Random, waits_ms: list[float], until: float
+    director: DirectorProcess, rng: random.Random, waits_ms: list[float], until: float
 ) -> None:
     """Sends requests one after another until a time of the monotonic clock."""
     while time.monotonic() < until:
         began = time.perf_counter()
-        await director.request_object(f"{draw.randrange(OBJECT_COUNT):x}", draw.getrandbits(60))
+        await director.request_object(f"{rng.randrange(OBJECT_COUNT):x}", rng.getrandbits(60))
         waits_ms.append((time.perf_counter() - began) * 1_000.0)
 
 
 async def send_purges(
-    coordinator: Coordinator, purges_per_second: float, draw: random.Random, until: float
+    coordinator: Coordinator, purges_per_second: float, rng: random.Random, until: float
 ) -> None:
     """Sends purges at a rate until a time of the monotonic clock."""
     while time.monotonic() < until:
         for _ in range(max(1, int(purges_per_second / TICKS_PER_SECOND))):
-            name = f"{FIRST_PURGED_OBJECT + draw.randrange(PURGED_OBJECT_COUNT):x}"
+            name = f"{FIRST_PURGED_OBJECT + rng.randrange(PURGED_OBJECT_COUNT):x}"
             coordinator.publish(evict={"ref": name, "unix_ms": time.time() * 1000.0})
         await asyncio.sleep(TICK_SECONDS)
 
 
-async def play_round(kind: str, seconds: float, purges_per_second: float, directory: Path) -> RoundResult:
-    """Plays one director's turn."""
-    coordinator, draw = await Coordinator().start(), random.Random(1)
+async def run_round(kind: str, seconds: float, purges_per_second: float, directory: Path) -> RoundResult:
+    """Runs one director and measures it."""
+    coordinator, rng = await Coordinator().start(), random.Random(1)
     peers = [await ScriptedServer(serve, f"c{number}").start() for number in range(SERVER_COUNT)]
     director = DirectorProcess(directory, "each")
     options = (directory / "own.toml").read_text()
@@ -84,7 +84,7 @@
     clients = [
         send_requests(director, random.Random(number), waits_ms, until) for number in range(CLIENT_COUNT)
     ]
-    await asyncio.gather(send_purges(coordinator, purges_per_second, draw, until), *clients)
+    await asyncio.gather(send_purges(coordinator, purges_per_second, rng, until), *clients)
     status = await director.store_status()
     await director.kill()
     coordinator.stop()
@@ -101,7 +101,7 @@
     for _ in range(rounds):
         for kind in SEGMENT_BYTES:
             with tempfile.TemporaryDirectory() as directory:
-                results[kind].append(await play_round(kind, seconds, purges_per_second, Path(directory)))
+                results[kind].append(await run_round(kind, seconds, purges_per_second, Path(directory)))
     for kind, rows in results.items():
         p50_ms = statistics.median(row.p50_ms for row in rows)
         p99_ms = statistics.median(row.p99_ms for row in rows)
@@ -113,7 +113,7 @@
 
 
 def main() -> int:
-    """Parses the command line and runs the benchmark; its exit code."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="Served requests while the store compacts.")
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--rate", type=float, default=1_000.0, help="purges a second")
