--- a/benchmarks/dns_load.py
+++ b/benchmarks/dns_load.py
@@ -1,11 +1,11 @@
-"""Load test of the DNS front by UDP, TCP and TLS, and of the HTTP front under a flood of DNS queries.
+"""Load test of the DNS front over UDP, TCP and TLS, and of the HTTP front under a flood of DNS queries.
 
     python -m benchmarks.dns_load [--seconds 3] [--rounds 3]
 
-Each transport is measured beside a bare responder, a process of its own that returns each query with one
-fixed record and looks at nothing. Clients are two processes, each with a fixed number of open queries. Then
-HTTP requests are sent at a fixed rate to the same director, without a flood and under one of as many queries
-as one process can send, with the budget `all_per_s` and without it: p50 and p99 are printed.
+Each transport is compared with a bare responder, a process that responds to each query with the same record
+without parsing it. Clients are two processes, each with a fixed number of open queries. Then HTTP requests
+are sent to a director at a fixed rate, without a flood and during a flood of as many queries as one process
+can send, with the budget `all_per_s` and without it; p50 and p99 are printed.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from .store_served import serve
 
 ZONE = "cdn.example."
-OPEN_QUERIES = 16  # of one client at a time
+OPEN_QUERIES = 16  # concurrent queries of one client
 CLIENTS = 2
 DISTINCT_QUERIES = 512  # of one client
 RECORD = b"\xc0\x0c\0\1\0\1\0\0\0\2\0\4\x7f\0\0\1"  # A 127.0.0.1 for the name in the question
@@ -49,8 +49,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Way:
-    """How queries are sent."""
+class QueryMode:
+    """The transport of queries, and whether they have a DNS cookie."""
 
     transport: str
     has_cookie: bool = False
@@ -61,12 +61,12 @@
         return self.transport + (" cookie" if self.has_cookie else "")
 
 
-WAYS = (Way("udp"), Way("udp", has_cookie=True), Way("tcp"), Way("tls"))
+QUERY_MODES = (QueryMode("udp"), QueryMode("udp", has_cookie=True), QueryMode("tcp"), QueryMode("tls"))
 
 
 @dataclass(slots=True, frozen=True)
 class Throughput:
-    """What clients measured of one server."""
+    """The throughput and latency that clients measured at one server."""
 
     answers_per_s: float
     p99_ms: float
@@ -74,14 +74,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Latencies:
-    """What HTTP requests took."""
+    """The latencies of HTTP requests."""
 
     p50_ms: float
     p99_ms: float
 
 
 def make_query(rng: random.Random, has_cookie: bool) -> bytes:
-    """Returns a query for an object drawn from 65,536."""
+    """Returns a query for one of 65,536 objects at random."""
     name = f"0.{rng.getrandbits(16):x}.lot-page.{ZONE}"
     options: list[dns.edns.Option] = [dns.edns.CookieOption(b"c" * 8, b"")] if has_cookie else []
     edns = 0 if has_cookie else -1
@@ -98,7 +98,7 @@
 
 
 class BareDatagrams(asyncio.DatagramProtocol):
-    """The bare responder by UDP."""
+    """The bare responder over UDP."""
 
     transport: asyncio.DatagramTransport
 
@@ -112,7 +112,7 @@
 
 
 class BareStream(asyncio.Protocol):
-    """The bare responder by TCP and TLS."""
+    """The bare responder over TCP and TLS."""
 
     transport: asyncio.Transport
 
@@ -124,7 +124,7 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Responds to each whole query, in one write."""
+        """Responds to all complete queries in one write."""
         self._buffer += data
         responses = [bare_response(wire) for wire in take_messages(self._buffer)]
         if responses:
@@ -133,7 +133,7 @@
 
 
 def take_messages(buffer: bytearray) -> Iterator[bytes]:
-    """Removes whole messages from the start of a stream's buffer, and yields them without their lengths."""
+    """Removes complete messages from the start of a stream's buffer; yields them without length prefixes."""
     while len(buffer) >= 2 and len(buffer) >= (end := 2 + int.from_bytes(buffer[:2], "big")):
         wire = bytes(buffer[2:end])
         del buffer[:end]
@@ -141,7 +141,7 @@
 
 
 def run_bare_responder(folder: str, ports: Any) -> None:
-    """Serves in this process for good; puts its port for UDP and TCP and that for TLS into a queue."""
+    """Serves in this process until it ends; puts the port for UDP and TCP and that for TLS into a queue."""
     import uvloop
 
     async def serve_all() -> None:
@@ -162,23 +162,23 @@
 
 
 def connect(transport: str, port: int) -> socket.socket:
-    """Connects a socket to a port of this machine by UDP, TCP or TLS."""
+    """Connects a socket to a port of this machine over UDP, TCP or TLS."""
     if transport == "udp":
-        plain = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        plain.connect(("127.0.0.1", port))
+        connection = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        connection.connect(("127.0.0.1", port))
     else:
-        plain = socket.create_connection(("127.0.0.1", port))
-        plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    plain.settimeout(1.0)
+        connection = socket.create_connection(("127.0.0.1", port))
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    connection.settimeout(1.0)
     if transport != "tls":
-        return plain
+        return connection
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
-    return context.wrap_socket(plain)
+    return context.wrap_socket(connection)
 
 
 def receive_ids(transport: str, sock: socket.socket, buffer: bytearray) -> Iterator[int]:
-    """Yields the ids of the responses that one read brings."""
+    """Reads once and yields the ids of the complete responses."""
     data = sock.recv(65_535)
     if transport == "udp":
         yield int.from_bytes(data[:2], "big")
@@ -188,11 +188,11 @@
         yield int.from_bytes(wire[:2], "big")
 
 
-def run_client(way: Way, port: int, seconds: float, seed: int, results: Any) -> None:
-    """Keeps a number of queries open for some time; puts the latencies in ms into a queue."""
+def run_client(mode: QueryMode, port: int, seconds: float, seed: int, results: Any) -> None:
+    """Keeps `OPEN_QUERIES` queries open for some time; puts the latencies in ms into a queue."""
     rng = random.Random(seed)
-    wires = [make_query(rng, way.has_cookie) for _ in range(DISTINCT_QUERIES)]
-    sock, buffer = connect(way.transport, port), bytearray()
+    wires = [make_query(rng, mode.has_cookie) for _ in range(DISTINCT_QUERIES)]
+    sock, buffer = connect(mode.transport, port), bytearray()
     sent_at: dict[int, float] = {}
     latencies_ms: list[float] = []
     query_id, ends_at = 0, time.perf_counter() + seconds
@@ -201,21 +201,21 @@
             query_id = (query_id + 1) % 65_536
             wire = query_id.to_bytes(2, "big") + wires[query_id % DISTINCT_QUERIES][2:]
             sent_at[query_id] = time.perf_counter()
-            sock.sendall(wire if way.transport == "udp" else len(wire).to_bytes(2, "big") + wire)
+            sock.sendall(wire if mode.transport == "udp" else len(wire).to_bytes(2, "big") + wire)
         try:
-            for answered_id in receive_ids(way.transport, sock, buffer):
-                if answered_id in sent_at:
-                    latencies_ms.append((time.perf_counter() - sent_at.pop(answered_id)) * 1e3)
+            for response_id in receive_ids(mode.transport, sock, buffer):
+                if response_id in sent_at:
+                    latencies_ms.append((time.perf_counter() - sent_at.pop(response_id)) * 1e3)
         except TimeoutError:
             sent_at.clear()  # the datagrams were lost
     results.put(latencies_ms)
 
 
-def measure(way: Way, port: int, seconds: float) -> Throughput:
+def measure(mode: QueryMode, port: int, seconds: float) -> Throughput:
     """Runs all clients against one server."""
     results: Any = multiprocessing.Queue()
     clients = [
-        multiprocessing.Process(target=run_client, args=(way, port, seconds, seed, results))
+        multiprocessing.Process(target=run_client, args=(mode, port, seconds, seed, results))
         for seed in range(CLIENTS)
     ]
     for client in clients:
@@ -232,7 +232,7 @@
 
 
 def flood(port: int, seconds: float) -> None:
-    """Sends queries by UDP as fast as one process can, and reads no responses."""
+    """Sends queries over UDP as fast as one process can, and reads no responses."""
     sock, rng = connect("udp", port), random.Random(3)
     sock.setblocking(False)
     wires = [make_query(rng, has_cookie=False) for _ in range(DISTINCT_QUERIES)]
@@ -244,7 +244,7 @@
 
 
 async def send_http_requests(director: DirectorProcess, seconds: float) -> Latencies:
-    """Sends HTTP requests at a fixed rate, whether or not earlier ones were answered."""
+    """Sends HTTP requests at a fixed rate without waiting for earlier responses."""
     rng, latencies_ms, started_at = random.Random(4), list[float](), time.monotonic()
 
     async def send_one() -> None:
@@ -287,8 +287,8 @@
             peer.stop()
 
 
-async def measure_ways(folder: Path, seconds: float, rounds: int) -> None:
-    """Prints the throughput of each way beside that of the bare responder, the median of all rounds."""
+async def measure_modes(folder: Path, seconds: float, rounds: int) -> None:
+    """Prints the throughput of each mode and of the bare responder, as the median of all rounds."""
     ports: Any = multiprocessing.Queue()
     responder = multiprocessing.Process(target=run_bare_responder, args=(str(folder), ports), daemon=True)
     responder.start()
@@ -297,35 +297,35 @@
     (folder / "keys").chmod(0o600)
     async with running_director(folder, TLS_SETTINGS + "cookies = 'keys'\n") as director:
         print("way        answers/s   bare/s   ratio    p99 ms  bare p99")
-        for way in WAYS:
-            is_tls = way.transport == "tls"
-            own_port = director.dns_tls[1] if is_tls else director.dns[1]
-            other_port = bare_tls_port if is_tls else bare_port
+        for mode in QUERY_MODES:
+            is_tls = mode.transport == "tls"
+            director_port = director.dns_tls[1] if is_tls else director.dns[1]
+            bare_responder_port = bare_tls_port if is_tls else bare_port
             own, bare = [], []
             for _ in range(rounds):
-                own.append(await asyncio.to_thread(measure, way, own_port, seconds))
-                bare.append(await asyncio.to_thread(measure, way, other_port, seconds))
-            print(format_way(way, median_throughput(own), median_throughput(bare)), flush=True)
+                own.append(await asyncio.to_thread(measure, mode, director_port, seconds))
+                bare.append(await asyncio.to_thread(measure, mode, bare_responder_port, seconds))
+            print(format_mode(mode, median_throughput(own), median_throughput(bare)), flush=True)
         responder.terminate()
 
 
 def median_throughput(rounds: list[Throughput]) -> Throughput:
-    """Returns the median of each figure."""
+    """Returns the medians of all rounds."""
     return Throughput(
         statistics.median(result.answers_per_s for result in rounds),
         statistics.median(result.p99_ms for result in rounds),
     )
 
 
-def format_way(way: Way, own: Throughput, bare: Throughput) -> str:
+def format_mode(mode: QueryMode, own: Throughput, bare: Throughput) -> str:
     """Returns a line of the table."""
     ratio = own.answers_per_s / bare.answers_per_s
     rates = f"{own.answers_per_s:9.0f} {bare.answers_per_s:8.0f}  {ratio:6.3f}"
-    return f"{way.label:10} {rates}  {own.p99_ms:8.2f}  {bare.p99_ms:8.2f}"
+    return f"{mode.label:10} {rates}  {own.p99_ms:8.2f}  {bare.p99_ms:8.2f}"
 
 
 async def measure_under_flood(folder: Path, seconds: float, rounds: int) -> None:
-    """Prints the latencies of HTTP requests without and under a flood, with a query budget and without."""
+    """Prints the latencies of HTTP requests with and without a flood, with and without a query budget."""
     print("HTTP at 200/s     p50 ms    p99 ms   over quiet")
     for label, settings in (("all_per_s = 500", "all_per_s = 500.0\n"), ("no budget", "")):
         quiet, flooded = [], []
@@ -361,7 +361,7 @@
         certificate = trustme.CA().issue_cert("dns.example")
         certificate.private_key_pem.write_to_path(str(folder / "key.pem"))
         certificate.cert_chain_pems[0].write_to_path(str(folder / "cert.pem"))
-        asyncio.run(measure_ways(folder, options.seconds, options.rounds))
+        asyncio.run(measure_modes(folder, options.seconds, options.rounds))
         asyncio.run(measure_under_flood(folder, options.seconds, options.rounds))
     return 0
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,13 +1,12 @@
-"""Shared tasks on loopback: the health checks that servers see, and takeovers of a dead member's share.
+"""Shared tasks on loopback: health checks that servers receive, and takeovers of a killed director's tasks.
 
     python -m benchmarks.duties [--directors 4] [--boxes 12] [--kills 100] [--interval 500] [--loss 0]
 
-Every director is a process of its own. First they are left alone for a while: suspicions and deaths of
-members that live, and bytes a second, as each tells at its control socket. Then comes one kill after the
-other. Checks a server and interval are counted over all of that, kills, takeovers and restarts among it. A
-takeover is the time from SIGKILL to the first check of a server by another director than the killed one,
-which is known by its connection. `--loss` is the part of all datagrams that is lost. 100 kills take eight
-minutes.
+Every director is a process. First all of them run undisturbed: it prints suspicions and deaths of live
+members, and bytes a second, from the directors' control sockets. Then they are killed and restarted, one after
+another. The number of checks per server and interval covers all of that time, including kills, takeovers
+and restarts. A takeover is the time from SIGKILL until a server receives its first check on a connection that
+is not the killed director's. `--loss` is the fraction of all datagrams that is lost. 100 kills take eight minutes.
 """
 
 from __future__ import annotations
@@ -31,15 +30,15 @@
 from gladewalk.rehearsal.scripted_servers import ReceivedRequest, ScriptedServer
 
 QUIET_SECONDS = 30.0
-SETTLE_SECONDS = 3.0  # after a start, until all know one another and each task has one owner
+SETTLE_SECONDS = 3.0  # after a start, until all members know each other and each task has one owner
 MAX_TAKEOVER_SECONDS = 20.0
 SEED_COUNT = 2
-MS = 1_000.0  # a second
+MS = 1_000.0  # in a second
 
 
 @dataclass(slots=True, frozen=True)
 class ReceivedCheck:
-    """A health check as a server saw it; the connection tells who sent it."""
+    """A health check that a server received; the connection identifies the sender."""
 
     at_seconds: float  # monotonic
     connection: asyncio.StreamWriter
@@ -51,8 +50,8 @@
     def __init__(self) -> None:
         self.checks: dict[str, list[ReceivedCheck]] = {}  # by server
 
-    async def answer(self, request: ReceivedRequest) -> None:
-        """Records a check and answers it."""
+    async def respond(self, request: ReceivedRequest) -> None:
+        """Records a check and responds to it."""
         check = ReceivedCheck(time.monotonic(), request.writer)
         self.checks.setdefault(request.server.uid, []).append(check)
         await request.answer(200, X_Meter="util:0.2")
@@ -69,7 +68,7 @@
         self.ports: list[int] = []
 
     async def start(self, number: int) -> None:
-        """Starts a director, at the same address each time: its first start chooses its port."""
+        """Starts a director; it keeps the port of its first start."""
         if len(self.ports) <= number:
             self.ports.append(free_port())
         seeds = json.dumps([f"127.0.0.1:{port}" for port in self.ports[:SEED_COUNT]])
@@ -81,11 +80,11 @@
         )
         config_path.write_text(json.dumps({**self.config, "name": f"n{number}"}))
         lossy = ["benchmarks.lossy_director", str(self.loss)]
-        words = lossy if self.loss else ["gladewalk", "run", "--config"]
+        module_arguments = lossy if self.loss else ["gladewalk", "run", "--config"]
         self.running[number] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            *words,
+            *module_arguments,
             str(options_path),
             env={**os.environ, "NODE_CONFIG": str(config_path)},
             stderr=asyncio.subprocess.DEVNULL,
@@ -126,7 +125,7 @@
 
 
 async def measure_takeover(fleet: Fleet, recorder: CheckRecorder, victim: int) -> list[float]:
-    """Kills a director; returns how long each server that it checked waits for another's check, in ms."""
+    """Kills a director; returns the ms until another one checks each server that it checked."""
     ports = fleet.tcp_ports(victim)
     # By the connection itself: on loopback another director may soon be given the same port.
     last_connections = {
@@ -136,22 +135,24 @@
     }
     killed = time.monotonic()
     await fleet.kill(victim)
-    waits_ms: dict[str, float] = {}
-    while len(waits_ms) < len(last_connections) and time.monotonic() < killed + MAX_TAKEOVER_SECONDS:
+    takeovers_by_server: dict[str, float] = {}
+    while (
+        len(takeovers_by_server) < len(last_connections) and time.monotonic() < killed + MAX_TAKEOVER_SECONDS
+    ):
         await asyncio.sleep(0.005)
         for server, last_connection in last_connections.items():
-            later = [
+            later_seconds = [
                 check.at_seconds
                 for check in recorder.checks[server]
                 if check.at_seconds > killed and check.connection is not last_connection
             ]
-            if later:
-                waits_ms.setdefault(server, (later[0] - killed) * MS)
-    return [waits_ms.get(server, MAX_TAKEOVER_SECONDS * MS) for server in last_connections]
+            if later_seconds:
+                takeovers_by_server.setdefault(server, (later_seconds[0] - killed) * MS)
+    return [takeovers_by_server.get(server, MAX_TAKEOVER_SECONDS * MS) for server in last_connections]
 
 
 async def measure_quiet(fleet: Fleet, seconds: float) -> None:
-    """Prints what members do to one another while nothing happens."""
+    """Prints false suspicions, false deaths and traffic of members while no director is killed."""
     before, started = await fleet.counters(), time.monotonic()
     await asyncio.sleep(seconds)
     after, elapsed = await fleet.counters(), time.monotonic() - started
@@ -168,10 +169,10 @@
     )
 
 
-async def play(directors: int, servers: int, kills: int, interval_ms: float, loss: float) -> None:
-    """Starts the fleet, measures it quiet and over the kills, and prints the figures."""
+async def run_benchmark(directors: int, servers: int, kills: int, interval_ms: float, loss: float) -> None:
+    """Starts the fleet, measures it without and with kills, and prints the measurements."""
     recorder, coordinator = CheckRecorder(), await Coordinator().start()
-    peers = [await ScriptedServer(recorder.answer, f"c{number}").start() for number in range(servers)]
+    peers = [await ScriptedServer(recorder.respond, f"c{number}").start() for number in range(servers)]
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), config_for(peers, coordinator), interval_ms, loss)
         takeovers_ms: list[float] = []
@@ -207,7 +208,7 @@
 
 
 def main() -> int:
-    """Runs the benchmark as the command line says."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="Shared tasks on loopback.")
     parser.add_argument("--directors", type=int, default=4)
     parser.add_argument("--boxes", type=int, default=12)
@@ -216,7 +217,9 @@
     parser.add_argument("--loss", type=float, default=0.0)
     arguments = parser.parse_args()
     asyncio.run(
-        play(arguments.directors, arguments.boxes, arguments.kills, arguments.interval, arguments.loss)
+        run_benchmark(
+            arguments.directors, arguments.boxes, arguments.kills, arguments.interval, arguments.loss
+        )
     )
     return 0
 
--- a/benchmarks/duties_at_size.py
+++ b/benchmarks/duties_at_size.py
@@ -1,12 +1,12 @@
-"""Shared tasks at sizes that sockets don't reach, in virtual time: takeovers, health checks, messages.
+"""Shared tasks of fleets too large for real sockets, in virtual time: takeovers, health checks, messages.
 
     python -m benchmarks.duties_at_size [--sizes 16,64,256,1024] [--kills 5] [--plot FILE.png]
 
-The real membership, ownership and runner, on a network in memory. There are three servers for each member,
-checked once a second. Printed are, over some kills, the time until a server that the killed member checked is
-checked by its new owner, the checks of a server an interval, kills among them, what each member sends, and
-how old the latest finding is that a member has of a server (median). The seed is the size. 1,024 members take
-some minutes. `--plot` needs matplotlib.
+It runs the real membership, task ownership and task runner on a network in memory. There are three servers
+for each member, checked once a second. Some members are killed. For each size, it prints the time until a
+server is checked by its new owner after a kill, the checks per server and interval over the whole time, the
+traffic of each member, and the median age of the latest check result that a member knows of a server. The
+seed is the size. 1,024 members take some minutes. `--plot` needs matplotlib.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """The figures of one size."""
+    """The measurements of one size."""
 
     members: int
     takeovers: list[float]
@@ -49,7 +49,7 @@
 
 
 def kill(network: TaskNetwork, name: str) -> list[float]:
-    """Kills a member; returns how long each server that it checked waits for its new owner, in ms."""
+    """Kills a member; returns the ms until the new owner checks each server that it checked."""
     owned = {server for server in network.servers if network.owners(server) == [name]}
     killed_ms, earlier_count = network.now_ms, len(network.checks)
     network.kill(name)
@@ -62,8 +62,8 @@
 
 
 def measure(size: int, kills: int, settle_ms: float, have_met: bool) -> Row:
-    """Plays one size: a quiet time, then kills of members that are drawn."""
-    began, draw = time.monotonic(), random.Random(size)
+    """Runs one size: first undisturbed, then with kills of random members."""
+    started, rng = time.monotonic(), random.Random(size)
     network = build_task_network(
         size, size, servers=SERVERS_PER_MEMBER * size, settle_ms=settle_ms, have_met=have_met
     )
@@ -73,15 +73,15 @@
     member_seconds = size * QUIET_MS / 1_000.0
     bytes_per_second = (sum(network.sent_bytes.values()) - bytes_before) / member_seconds
     messages_per_second = (sum(network.sent_datagrams.values()) - messages_before) / member_seconds
-    servers = draw.sample(network.servers, min(MAX_SAMPLED_SERVERS, len(network.servers)))
+    servers = rng.sample(network.servers, min(MAX_SAMPLED_SERVERS, len(network.servers)))
     ages_ms = sorted(
         network.now_ms - network.known_since_ms.get((name, server), started_ms)
         for name in network.nodes
         for server in servers
     )
     takeovers: list[float] = []
-    for name in draw.sample(sorted(network.nodes), min(kills, size - 1)):
-        network.run(draw.uniform(0.0, 1_000.0))
+    for name in rng.sample(sorted(network.nodes), min(kills, size - 1)):
+        network.run(rng.uniform(0.0, 1_000.0))
         takeovers += kill(network, name)
     return Row(
         size,
@@ -90,12 +90,12 @@
         bytes_per_second,
         messages_per_second,
         ages_ms,
-        time.monotonic() - began,
+        time.monotonic() - started,
     )
 
 
 def main() -> int:
-    """Prints one line for each size, and draws the plot if one is asked for."""
+    """Prints one line for each size, and draws the plot if `--plot` is given."""
     parser = argparse.ArgumentParser(description="Shared tasks in virtual time.")
     parser.add_argument("--sizes", default="4,16,64,256,1024")
     parser.add_argument("--kills", type=int, default=5)
@@ -117,7 +117,7 @@
 
 
 def draw_plot(rows: list[Row], path: str) -> None:
-    """Draws takeovers and bytes over the sizes."""
+    """Plots takeovers and bytes over the sizes."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -128,7 +128,7 @@
     left.plot(sizes, [row.takeovers[len(row.takeovers) // 2] for row in rows], "o-", label="median")
     left.plot(sizes, [row.takeovers[-1] for row in rows], "s--", label="most")
     left.axhline(2_000.0, color="grey", linestyle=":")
-    left.set(xscale="log", xlabel="members", ylabel="ms from a kill to the heir's probe", ylim=(0, None))
+    left.set(xscale="log", xlabel="members", ylabel="ms from a kill to the new owner's probe", ylim=(0, None))
     left.legend()
     right.plot(sizes, [row.bytes_per_second for row in rows], "o-")
     right.set(xscale="log", xlabel="members", ylabel="bytes a second, each member", ylim=(0, None))
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -122,12 +122,14 @@
     verdicts = [await run_fleet(count, seed + run, faults, times) for count in sizes for run in range(runs)]
     for (kind, count), all_ms in sorted(times.items()):
         measured_ms = sorted(time_ms for time_ms in all_ms if time_ms == time_ms)
-        summary = (
+        times_text = (
             f"median {measured_ms[len(measured_ms) // 2]:.0f} most {measured_ms[-1]:.0f}"
             if measured_ms
             else "none"
         )
-        print(f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} taken on, ms {summary}")
+        print(
+            f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} taken on, ms {times_text}"
+        )
     if plot:
         plot_handovers(times, plot)
     overlaps, stale = sum(v.overlaps for v in verdicts), sum(v.stale_accepted for v in verdicts)
--- a/benchmarks/h2_engine.py
+++ b/benchmarks/h2_engine.py
@@ -1,8 +1,8 @@
-"""CPU of the protocol library alone: one request and its response through the engine, without sockets.
+"""CPU of the protocol library alone, for one request and its response through the engine without sockets.
 
     python -m benchmarks.h2_engine [--count 3000] [--bytes 16384]
 
-The server's side is played by the same library, and only the client's calls are timed.
+The server side uses the same library, and only the client's calls are timed.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 def main() -> int:
-    """Runs the benchmark by its command line."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="CPU of one request in the protocol library.")
     parser.add_argument("--count", type=int, default=3_000)
     parser.add_argument("--bytes", type=int, default=16_384)
-    given = parser.parse_args()
+    options = parser.parse_args()
     client = Http2Engine(Http2Options(), lambda: 0.0, lambda name: None)
     server = H2Connection(H2Configuration(client_side=False, header_encoding="utf-8"))
     server.initiate_connection()
-    body = bytes(given.bytes)
+    body = bytes(options.bytes)
     spent_seconds = {"request": 0.0, "answer": 0.0}
     server.receive_data(client.data_to_send())
     client.receive_data(server.data_to_send())
-    for number in range(given.count):
+    for number in range(options.count):
         stream_id = 2 * number + 1
         started = time.perf_counter()
         client.send_headers(
@@ -61,7 +61,7 @@
         spent_seconds["answer"] += time.perf_counter() - started
         server.receive_data(client.data_to_send())
     for part, seconds in spent_seconds.items():
-        print(f"{part}: {seconds / given.count * 1e6:.0f} us")
+        print(f"{part}: {seconds / options.count * 1e6:.0f} us")
     return 0
 
 
--- a/benchmarks/http2_cost.py
+++ b/benchmarks/http2_cost.py
@@ -1,10 +1,10 @@
-"""CPU of a request over HTTP/1.1, h2c and HTTP/2 over TLS, beside a bare relay of the same responses.
+"""CPU of a request over HTTP/1.1, h2c and HTTP/2 over TLS, compared with a minimal relay.
 
     python -m benchmarks.http2_cost [--seconds 4] [--open 16,128,512] [--bytes 16384]
 
-Each is a process of its own in front of three servers that answer after 25 ms; a closed loop keeps so many
-requests in flight. The four are measured in turn, twice, so that changes of the machine's load affect all.
-CPU is the measured process's alone (user and system, from /proc), as a ratio to the relay's. Linux only.
+Each runs as a process in front of three servers that respond after 25 ms. `--open` clients each send one
+request after another. The four are measured in turn, twice, so that changes of the machine's load affect all.
+CPU is that of the measured process (user and system, from /proc), as a ratio to the relay's. Linux only.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 @dataclass
 class Sample:
-    """What was measured of one process at one number of requests in flight.
+    """The measurements of one process at one number of requests in flight.
 
     Attributes:
-        cpu_us: CPU of a request in each stretch, microseconds.
+        cpu_us: CPU of a request in each measurement period, microseconds.
         rss_mb: The highest resident memory, MB.
         connections: The most connections to one server.
         latencies_us: A histogram of latencies, microseconds.
@@ -61,10 +61,10 @@
 
 
 class LoadConnection(asyncio.Protocol):
-    """One client's connection, with the next request as soon as the response is complete."""
+    """One client's connection; it sends the next request as soon as a response is complete."""
 
-    def __init__(self, stretch: Stretch) -> None:
-        self.stretch = stretch
+    def __init__(self, period: MeasurementPeriod) -> None:
+        self.period = period
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -74,12 +74,12 @@
 
     def send(self) -> None:
         """Sends a request for the next object."""
-        self.stretch.sent += 1
-        key = f"{(self.stretch.sent * 7919) % 100_003:x}"
+        self.period.sent += 1
+        key = f"{(self.period.sent * 7919) % 100_003:x}"
         self.started = time.perf_counter()
         self.transport.write(
             f"GET /invoke/lot-page/{key}?nth=0 HTTP/1.1\r\nHost: app.svc\r\nMax-Wait-Ms: 3000\r\n"
-            f"Trace-Id: {self.stretch.sent:016x}\r\n\r\n".encode()
+            f"Trace-Id: {self.period.sent:016x}\r\n\r\n".encode()
         )
 
     def data_received(self, data: bytes) -> None:
@@ -88,23 +88,23 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Counts a connection that was lost before the end."""
-        self.stretch.lost_connections += not self.stretch.is_over
+        self.period.lost_connections += not self.period.is_over
 
     def on_message_complete(self) -> None:
         """Counts a response and sends the next request."""
-        stretch = self.stretch
-        if stretch.is_over:
+        period = self.period
+        if period.is_over:
             return
-        if stretch.is_counting:
+        if period.is_counting:
             is_served = self.parser.get_status_code() == 200
-            stretch.sample.served += is_served
-            stretch.sample.failed += not is_served
-            stretch.sample.latencies_us.record_value(int((time.perf_counter() - self.started) * 1e6))
+            period.sample.served += is_served
+            period.sample.failed += not is_served
+            period.sample.latencies_us.record_value(int((time.perf_counter() - self.started) * 1e6))
         self.send()
 
 
-class Stretch:
-    """One measured stretch of time."""
+class MeasurementPeriod:
+    """One period of a measurement; responses count while `is_counting`."""
 
     def __init__(self, sample: Sample) -> None:
         self.sample = sample
@@ -120,7 +120,11 @@
 
 def rss_mb(pid: int) -> float:
     """Returns the resident memory of a process, MB."""
-    (line,) = [x for x in Path(f"/proc/{pid}/status").read_text().splitlines() if x.startswith("VmRSS")]
+    (line,) = [
+        text_line
+        for text_line in Path(f"/proc/{pid}/status").read_text().splitlines()
+        if text_line.startswith("VmRSS")
+    ]
     return int(line.split()[1]) / 1024.0
 
 
@@ -142,8 +146,8 @@
     return max(counts.values(), default=0)
 
 
-class Stage:
-    """The processes of a benchmark; all of them end with it."""
+class BenchmarkProcesses:
+    """The processes of a benchmark; `close` ends all of them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -152,7 +156,7 @@
     def spawn(
         self, *arguments: str, env: dict[str, str] | None = None, stderr: Any = None
     ) -> subprocess.Popen[str]:
-        """Starts this Python with these arguments."""
+        """Starts the current Python interpreter with these arguments."""
         process = subprocess.Popen(
             [sys.executable, *arguments], stdout=subprocess.PIPE, stderr=stderr, text=True,
             env={**os.environ, **(env or {})},
@@ -179,7 +183,7 @@
 
     def start_director(self, kind: str, servers: list[str], coordinator: Coordinator) -> tuple[int, str]:
         """Starts a director in front of these servers; returns its process id and address."""
-        # Capacities that no load here reaches: admission control is not what is measured.
+        # No load of this benchmark reaches these capacities, so admission control does not affect the result.
         peers = [
             ScriptedServer(None, f"c{number}", capacity=10_000.0, address=address)  # type: ignore[arg-type]
             for number, address in enumerate(servers)
@@ -209,46 +213,48 @@
 async def measure(
     sample: Sample, pid: int, front: str, ports: set[int], in_flight: int, seconds: float
 ) -> None:
-    """Measures a process for one stretch, with so many requests in flight at its address."""
-    stretch = Stretch(sample)
+    """Measures a process for one period, with `in_flight` concurrent requests to its address `front`."""
+    period = MeasurementPeriod(sample)
     host, port = front.split(":")
     loop = asyncio.get_running_loop()
     clients = []
     for _ in range(in_flight):
-        transport, _ = await loop.create_connection(lambda: LoadConnection(stretch), host, int(port))
+        transport, _ = await loop.create_connection(lambda: LoadConnection(period), host, int(port))
         clients.append(transport)
     await asyncio.sleep(0.5)
     cpu_before, served_before = cpu_seconds(pid), sample.served
-    stretch.is_counting = True
+    period.is_counting = True
     for _ in range(4):
         await asyncio.sleep(seconds / 4)
         sample.connections = max(sample.connections, connections_to(pid, ports))
-    stretch.is_counting = False
+    period.is_counting = False
     served = max(1, sample.served - served_before)
     sample.cpu_us.append((cpu_seconds(pid) - cpu_before) / served * 1e6)
     sample.rss_mb = max(sample.rss_mb, rss_mb(pid))
-    sample.failed += stretch.lost_connections
-    stretch.is_over = True
+    sample.failed += period.lost_connections
+    period.is_over = True
     for transport in clients:
         transport.close()
     await asyncio.sleep(0.2)
 
 
 async def measure_all(
-    stage: Stage, levels: list[int], seconds: float, size_bytes: int
+    processes: BenchmarkProcesses, levels: list[int], seconds: float, size_bytes: int
 ) -> dict[int, dict[str, Sample]]:
     """Measures each kind at each number of requests in flight."""
     coordinators = {kind: await Coordinator().start() for kind in KINDS}
     fronts: dict[str, tuple[int, str, set[int]]] = {}
     for kind in KINDS:
-        servers = stage.start_servers(
+        servers = processes.start_servers(
             {"relay": "h1", "http1": "h1", "h2c": "h2", "tls": "tls"}[kind], size_bytes
         )
         ports = {int(address.split(":")[1]) for address in servers}
         if kind == "relay":
-            pid, address = stage.start_relay(servers)
+            pid, address = processes.start_relay(servers)
         else:
-            pid, address = await asyncio.to_thread(stage.start_director, kind, servers, coordinators[kind])
+            pid, address = await asyncio.to_thread(
+                processes.start_director, kind, servers, coordinators[kind]
+            )
         fronts[kind] = (pid, address, ports)
     resident_mb = {kind: round(rss_mb(pid), 1) for kind, (pid, _, _) in fronts.items()}
     print("resident at the start:", resident_mb, "MB")
@@ -278,12 +284,12 @@
 
 
 def main() -> int:
-    """Runs the benchmark by its command line."""
+    """Runs the benchmark; returns the exit code."""
     parser = argparse.ArgumentParser(description="CPU of a request over each protocol.")
     parser.add_argument("--seconds", type=float, default=4.0, help="of each stretch")
     parser.add_argument("--open", default="16,128,512", help="requests in flight")
     parser.add_argument("--bytes", type=int, default=16_384)
-    given = parser.parse_args()
+    cli_options = parser.parse_args()
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(8_192, hard), hard))
     with tempfile.TemporaryDirectory() as folder:
@@ -292,12 +298,12 @@
         certificate = authority.issue_cert("box.example")
         certificate.private_key_pem.write_to_path(str(Path(folder) / "box.key"))
         certificate.cert_chain_pems[0].write_to_path(str(Path(folder) / "box.pem"))
-        stage = Stage(Path(folder))
+        processes = BenchmarkProcesses(Path(folder))
         try:
-            levels = [int(level) for level in given.open.split(",")]
-            print_samples(uvloop.run(measure_all(stage, levels, given.seconds, given.bytes)))
+            levels = [int(level) for level in cli_options.open.split(",")]
+            print_samples(uvloop.run(measure_all(processes, levels, cli_options.seconds, cli_options.bytes)))
         finally:
-            stage.close()
+            processes.close()
     return 0
 
 
--- a/benchmarks/lossy_director.py
+++ b/benchmarks/lossy_director.py
@@ -1,8 +1,8 @@
-"""A director whose datagrams to other members are lost at random, for shared tasks on a bad network.
+"""A director that drops datagrams to other members at random, to test shared tasks on a lossy network.
 
     python -m benchmarks.lossy_director FRACTION SETTINGS.toml
 
-The fraction is lost on the way out, so between two lossy directors each direction loses as much.
+The director drops this fraction of the datagrams that it sends, so two of them lose it in each direction.
 """
 
 from __future__ import annotations
--- a/benchmarks/member_traffic.py
+++ b/benchmarks/member_traffic.py
@@ -1,4 +1,4 @@
-"""What members send, for the benchmarks of membership."""
+"""Traffic of members, for the benchmarks of membership."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Traffic:
-    """Load of one member: bytes and datagrams a second."""
+    """Traffic of one member: bytes and datagrams a second."""
 
     bytes_per_second: float
     datagrams_per_second: float
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TrafficCount:
-    """What a whole fleet had sent by a time in seconds."""
+    """Bytes and datagrams that a whole fleet had sent by a time in seconds."""
 
     at_seconds: float
     sent_bytes: int
     datagrams: int
 
     def rate_until(self, later: TrafficCount, members: int) -> Traffic:
-        """Returns the load of one member between two counts."""
+        """Returns the traffic of one member between two counts."""
         member_seconds = (later.at_seconds - self.at_seconds) * members
         return Traffic(
             (later.sent_bytes - self.sent_bytes) / member_seconds,
@@ -33,5 +33,5 @@
 
 
 def count_simulated(net: MemberNetwork) -> TrafficCount:
-    """Counts what the members of a simulated network have sent up to now."""
+    """Counts the bytes and datagrams that members of a simulated network have sent so far."""
     return TrafficCount(net.now_ms / 1_000.0, sum(net.sent_bytes.values()), sum(net.sent_datagrams.values()))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,11 +1,11 @@
-"""Membership at sizes that sockets don't reach, in virtual time: detection, false suspicions, traffic.
+"""Membership of fleets too large for real sockets, in virtual time: detection, false suspicions, traffic.
 
     python -m benchmarks.members [--sizes 4,16,64,256] [--seeds 5] [--plot FILE.png]
 
-One member of each fleet is killed at a random moment. Printed are the times until the first and until all of
-the others declared it dead; suspicions and deaths of live members at 0, 10 and 30 % loss, for each member and
-minute; and bytes and datagrams a second for each member. 1,024 members take some minutes a seed. `--plot`
-needs matplotlib.
+One member of each fleet is killed at a random moment. For each size, it prints the times until the first and
+until all of the others declared that member dead; suspicions and deaths of live members at 0, 10 and 30 %
+loss, for each member and minute; and bytes and datagrams a second for each member. 1,024 members take some
+minutes a seed. `--plot` needs matplotlib.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 SETTLE_MS = 8_000.0
 QUIET_MS = 10_000.0
 LOSSY_MS = 20_000.0
-MAX_DETECTION_MS = 30_000.0  # a death that takes longer counts as this
+MAX_DETECTION_MS = 30_000.0  # a death that is detected later counts as this
 SAME_INCIDENT_MS = 2_000.0  # observations of one member within such a span count once
 MS_PER_MINUTE = 60_000.0
 
@@ -57,43 +57,43 @@
     bytes_per_second: float
 
 
-def measure_traffic(net: MemberNetwork, duration_ms: float) -> Traffic:
-    """Lets virtual time pass and measures what members send meanwhile."""
-    before = count_simulated(net)
-    net.run(duration_ms)
-    return before.rate_until(count_simulated(net), len(net.nodes))
+def measure_traffic(network: MemberNetwork, duration_ms: float) -> Traffic:
+    """Lets virtual time pass and measures the traffic of the members meanwhile."""
+    before = count_simulated(network)
+    network.run(duration_ms)
+    return before.rate_until(count_simulated(network), len(network.nodes))
 
 
-def measure_detection(net: MemberNetwork, rng: random.Random) -> Detection:
+def measure_detection(network: MemberNetwork, rng: random.Random) -> Detection:
     """Kills a member at a random moment and waits until all others have declared it dead."""
-    net.run(rng.uniform(0.0, 1_000.0))
-    killed_ms = net.now_ms
-    net.kill("m1")
-    observers = len(net.nodes) - 1
-    while len(deaths := net.changes(MemberChange.DIED, "m1", killed_ms)) < observers:
-        if net.now_ms >= killed_ms + MAX_DETECTION_MS:
+    network.run(rng.uniform(0.0, 1_000.0))
+    killed_ms = network.now_ms
+    network.kill("m1")
+    observers = len(network.nodes) - 1
+    while len(deaths := network.changes(MemberChange.DIED, "m1", killed_ms)) < observers:
+        if network.now_ms >= killed_ms + MAX_DETECTION_MS:
             break
-        net.run(50.0)
+        network.run(50.0)
     times_ms = [death.at_ms - killed_ms for death in deaths]
     first_ms = min(times_ms, default=MAX_DETECTION_MS)
     return Detection(first_ms, max(times_ms) if len(times_ms) == observers else MAX_DETECTION_MS)
 
 
 def measure_false_alarms(size: int, seed: int, loss_rate: float) -> FalseAlarms:
-    """Counts suspicions and deaths of members that all live, under loss."""
-    net = cluster(size, seed)
-    net.observed.clear()
-    net.loss_rate = loss_rate
-    net.run(LOSSY_MS)
+    """Counts suspicions and deaths of members under loss while all members live."""
+    network = cluster(size, seed)
+    network.observed.clear()
+    network.loss_rate = loss_rate
+    network.run(LOSSY_MS)
     member_minutes = size * LOSSY_MS / MS_PER_MINUTE
     return FalseAlarms(
-        count_incidents(net.changes(MemberChange.SUSPECTED)) / member_minutes,
-        count_incidents(net.changes(MemberChange.DIED)) / member_minutes,
+        count_incidents(network.changes(MemberChange.SUSPECTED)) / member_minutes,
+        count_incidents(network.changes(MemberChange.DIED)) / member_minutes,
     )
 
 
 def count_incidents(changes: Iterable[ObservedChange]) -> int:
-    """Counts the observed members; what several observe at about the same time counts once."""
+    """Counts observations of members; those of one member at about the same time count once."""
     return len({(observed.member, observed.at_ms // SAME_INCIDENT_MS) for observed in changes})
 
 
@@ -102,24 +102,24 @@
     started = time.time()
     loads, detections = [], []
     for seed in range(seeds):
-        net = cluster(size, seed, settle_ms=SETTLE_MS)
-        loads.append(measure_traffic(net, QUIET_MS))
-        detections.append(measure_detection(net, random.Random(seed)))
+        network = cluster(size, seed, settle_ms=SETTLE_MS)
+        loads.append(measure_traffic(network, QUIET_MS))
+        detections.append(measure_detection(network, random.Random(seed)))
     alarms = [measure_false_alarms(size, 1, loss_rate) for loss_rate in LOSS_RATES]
     first_ms = statistics.median(detection.first_ms for detection in detections)
     all_ms = [detection.all_ms for detection in detections]
     bytes_per_second = statistics.mean(load.bytes_per_second for load in loads)
     datagrams_per_second = statistics.mean(load.datagrams_per_second for load in loads)
-    shown = "  ".join(f"{alarm.suspicions:.2f}, {alarm.deaths:.2f}" for alarm in alarms)
+    alarm_rates = "  ".join(f"{alarm.suspicions:.2f}, {alarm.deaths:.2f}" for alarm in alarms)
     print(
         f"{size:7}  {first_ms:8.0f}  {statistics.median(all_ms):10.0f}  {max(all_ms):10.0f}  "
-        f"{bytes_per_second:7.0f}  {datagrams_per_second:11.1f}  {shown}  {time.time() - started:.0f}",
+        f"{bytes_per_second:7.0f}  {datagrams_per_second:11.1f}  {alarm_rates}  {time.time() - started:.0f}",
         flush=True,
     )
     return SizeResult(size, statistics.median(all_ms), bytes_per_second)
 
 
-def draw(results: list[SizeResult], path: str) -> None:
+def plot_results(results: list[SizeResult], path: str) -> None:
     """Plots detection times and traffic over the fleet size."""
     import matplotlib
 
@@ -150,7 +150,7 @@
     )
     results = [measure_size(int(size), options.seeds) for size in options.sizes.split(",")]
     if options.plot:
-        draw(results, options.plot)
+        plot_results(results, options.plot)
     return 0
 
 
--- a/benchmarks/members_busy.py
+++ b/benchmarks/members_busy.py
@@ -22,42 +22,42 @@
 
 
 def spin(until: float, parent: int) -> None:
-    """Keeps a core busy until a time, and for no longer than its parent lives."""
+    """Keeps a core busy until a time or the end of the parent process."""
     while time.time() < until and os.getppid() == parent:
         sum(range(10_000))
 
 
-async def play_all_cases() -> list[str]:
-    """Plays all cases side by side; returns what went wrong."""
+async def run_all_cases() -> list[str]:
+    """Runs all cases concurrently; returns their failures."""
     return [failure for failure in await asyncio.gather(*map(run_case, CASES)) if failure]
 
 
-def play_runs(runs: int) -> int:
-    """Plays and prints so many runs; returns the number of failures."""
+def execute_runs(runs: int) -> int:
+    """Executes this number of runs and prints each; returns the number of failures."""
     failures = 0
     for run in range(1, runs + 1):
         started = time.time()
-        wrong = asyncio.run(play_all_cases())
-        failures += len(wrong)
-        print(f"run {run}: {'; '.join(wrong) or 'none'} ({time.time() - started:.0f} s)", flush=True)
+        failed_cases = asyncio.run(run_all_cases())
+        failures += len(failed_cases)
+        print(f"run {run}: {'; '.join(failed_cases) or 'none'} ({time.time() - started:.0f} s)", flush=True)
     return failures
 
 
 def main() -> int:
-    """Runs the benchmark; returns the exit code: 1 if anything went wrong."""
+    """Runs the benchmark; returns the exit code: 1 if a case failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--beside", type=int, default=os.cpu_count() or 1, help="spinning processes")
     options = parser.parse_args()
-    ends = time.time() + options.runs * MAX_RUN_SECONDS
+    deadline = time.time() + options.runs * MAX_RUN_SECONDS
     busy = [
-        multiprocessing.Process(target=spin, args=(ends, os.getpid()), daemon=True)
+        multiprocessing.Process(target=spin, args=(deadline, os.getpid()), daemon=True)
         for _ in range(options.beside)
     ]
     for process in busy:
         process.start()
     try:
-        failures = play_runs(options.runs)
+        failures = execute_runs(options.runs)
     finally:
         for process in busy:
             process.terminate()
--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -220,7 +220,7 @@
     """Runs every case on simulated networks of each size, `jobs` at a time."""
     with ProcessPoolExecutor(max_workers=jobs) as pool:
         runs_of_cases = [pool.submit(run_in_simulation, case, size, 1) for size in sizes for case in CASES]
-        return [run.result() for run in runs_of_cases]
+        return [future.result() for future in runs_of_cases]
 
 
 def main() -> int:
--- a/benchmarks/nginx_agreement.py
+++ b/benchmarks/nginx_agreement.py
@@ -1,8 +1,8 @@
-"""The compiled location search against a literal reading of nginx's order, on random location trees.
+"""Compares the compiled location search with a literal search in nginx's order, on random location trees.
 
     python -m benchmarks.nginx_agreement [--count 100000] [--seed 1]
 
-The literal search is the tests' own and shares no code with the router. The first disagreement ends the run
+The literal search belongs to the tests and shares no code with the router. The first disagreement ends the run
 with exit code 1 and prints the tree and the URI.
 """
 
@@ -17,7 +17,7 @@
 
 SEGMENTS = ("a", "b", "ab", "A", "a.x", "b.y", "")
 REGEXES = (r"\.x$", "a", "^/a", "^/ab/", r"\.(x|y)$", "b/", "A", "^/$", "a.*b", "//")
-PREFIX_MODIFIERS = ("", "", "=", "^~", "~", "~*")  # a plain prefix twice: it is the most frequent
+PREFIX_MODIFIERS = ("", "", "=", "^~", "~", "~*")  # a plain prefix appears twice, as it is the most frequent
 REGEX_MODIFIERS = ("~", "~*")
 STEPS = [StepRow(op="return", defined_at="-", status=200, value="x")]
 MAX_SEGMENTS = 4
@@ -37,8 +37,8 @@
     Args:
         rng: The source of randomness.
         depth: Levels that may be nested.
-        below: The pattern that those which are no regex begin with.
-        in_regex: Whether they stand in a regex location, which may hold only regexes.
+        below: The prefix of all patterns that are no regexes.
+        in_regex: Whether they are nested in a regex location, which may contain only regexes.
     """
     rows: list[LocationRow] = []
     seen: set[tuple[str, str]] = set()
--- a/benchmarks/nginx_routes.py
+++ b/benchmarks/nginx_routes.py
@@ -1,10 +1,11 @@
-"""The cost of routing: tables of 10, 1,000 and 10,000 locations, and the worst regexes against their bound.
+"""The cost of routing with 10, 1,000 and 10,000 locations, and of the worst regexes under the match limit.
 
     python -m benchmarks.nginx_routes [--seed 1]
 
-Prints microseconds for each request, the median of some thousand random URIs: prefixes alone, prefixes with
-regexes behind them (all of which a URI that none matches goes through), and regexes made to backtrack, with
-their cost under nginx's own limit. Whole requests, from the target's text to the landing.
+It prints the microseconds that it takes to route a request from the text of its target to its upstream, as
+the median and 99th percentile of some thousand random URIs: with prefixes only, and with prefixes and regexes,
+where each URI is compared with all regexes and matches none. Then it prints the cost of regexes that backtrack
+excessively, under the router's match limit and under nginx's own limit.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def build_table(prefix_count: int, regex_count: int, rng: random.Random) -> tuple[Router, list[str]]:
-    """Returns a router with so many locations, and URIs that land all over it."""
+    """Returns a router with this many locations, and URIs that match random prefixes."""
     prefixes = [f"/s{number % 97}/d{number}/" for number in range(prefix_count)]
     locations = [LocationRow(defined_at="-", pattern=prefix, upstream="u") for prefix in prefixes]
     locations += [
@@ -58,15 +59,15 @@
     costs_us = []
     for uri in uris:
         started_ns = time.perf_counter_ns()
-        landing = router.route(LISTEN, Request("GET", parse_target(uri), "example.com"))
+        destination = router.route(LISTEN, Request("GET", parse_target(uri), "example.com"))
         costs_us.append((time.perf_counter_ns() - started_ns) / 1_000.0)
-        assert landing.upstream == "u"
+        assert destination.upstream == "u"
     costs_us.sort()
     return statistics.median(costs_us), costs_us[int(len(costs_us) * 0.99)]
 
 
 def describe_worst_case(pattern: str, text: str) -> str:
-    """Returns how long a match takes until it is abandoned, and under nginx's own limit."""
+    """Returns how long a match takes under the router's match limit, and under nginx's own limit."""
     regex = Regex(pattern)
     started = time.perf_counter()
     try:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""A bare relay as a process: httptools on uvloop, no decision but a hash, HTTP/1.1 on both sides.
+"""A minimal relay as a process: HTTP/1.1 with httptools on uvloop, and a hash of the URL to choose a cache.
 
 python -m benchmarks.relay CACHE_ADDRESS...
 """
@@ -14,7 +14,7 @@
 
 
 class CacheConnection(asyncio.Protocol):
-    """One connection to a cache; it carries one request at a time."""
+    """One connection to a cache, with one request at a time."""
 
     def __init__(self) -> None:
         self.client: ClientConnection | None = None
@@ -31,7 +31,7 @@
         self.transport.write(request)  # type: ignore[attr-defined]
 
     def data_received(self, data: bytes) -> None:
-        """Forwards a part of the response to the client."""
+        """Forwards a piece of the response to the client."""
         client = self.client
         assert client is not None
         if not client.transport.is_closing():
@@ -39,7 +39,7 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """The connection can carry the next request."""
+        """Makes the connection available for the next request."""
         self.idle.append(self)
 
 
@@ -61,15 +61,15 @@
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Prepares for a new request."""
         self.url, self.headers = b"", []
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Appends a piece of the request's target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Stores a header field."""
         self.headers.append(name + b": " + value)
 
     def on_message_complete(self) -> None:
@@ -79,7 +79,7 @@
 
 
 class Relay:
-    """Forwards requests to caches by a hash of the URL, on connections that are kept."""
+    """Forwards requests to caches by a hash of the URL, on persistent connections."""
 
     def __init__(self, caches: list[tuple[str, int]]) -> None:
         self.caches = caches
@@ -101,7 +101,7 @@
 
 
 async def serve(addresses: list[str]) -> None:
-    """Serves on a free port, which it prints, until the process is ended."""
+    """Prints a free port and serves on it until the process is killed."""
     relay = Relay([(host, int(port)) for host, port in (address.split(":") for address in addresses)])
     server = await asyncio.get_running_loop().create_server(
         lambda: ClientConnection(relay), "127.0.0.1", 0, backlog=1_024
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -85,7 +85,7 @@
         self.restart_seconds: list[float] = []
         self.acknowledged_count = 0
 
-    async def run(self, peers: list[ScriptedServer]) -> None:
+    async def execute(self, peers: list[ScriptedServer]) -> None:
         """Executes one round."""
         coordinator = await Coordinator().start()
         # A copy of the configuration, without the purges that follow.
@@ -131,7 +131,7 @@
     rounds = KillRounds(DirectorProcess(directory, policy), random.Random(seed), is_forgetting)
     peers = [await ScriptedServer(rounds.check.serve, f"c{number}").start() for number in range(SERVER_COUNT)]
     for _ in range(kills // 2):
-        await rounds.run(peers)
+        await rounds.execute(peers)
     for peer in peers:
         peer.stop()
     check, restarts = rounds.check, rounds.restart_seconds
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -54,7 +54,7 @@
     parent_capacity: int
     copies: dict[str, dict[str, None]] = field(default_factory=dict)  # the least recently used first
     is_counting: bool = False
-    counts: Counter[str] = field(default_factory=Counter)
+    response_counts: Counter[str] = field(default_factory=Counter)
 
     async def serve_cache(self, request: ReceivedRequest) -> None:
         """Responds as a cache: from its own objects or else from the source that the request names."""
@@ -79,7 +79,7 @@
         is_cached = name in parent
         self._touch(parent, name, self.parent_capacity)
         self._touch(own, name, self.capacity)
-        self.counts["by the origin"] += self.is_counting and not is_cached
+        self.response_counts["by the origin"] += self.is_counting and not is_cached
         await self._respond(request, "from a parent", "parent" if is_cached else "origin")
 
     def _touch(self, objects: dict[str, None], name: str, capacity: int) -> None:
@@ -102,7 +102,7 @@
     async def _respond(
         self, request: ReceivedRequest, outcome: str, remark: str = "", status: int = 200
     ) -> None:
-        self.counts[outcome] += self.is_counting
+        self.response_counts[outcome] += self.is_counting
         if remark:
             body = b"copy" if status == 200 else b""
             await request.answer(status, body, X_Remark=remark, Fill_Wait="1.0")
@@ -158,7 +158,7 @@
     coordinator.stop()
     for peer in peers:
         peer.stop()
-    return caches.counts
+    return caches.response_counts
 
 
 async def compare(arguments: argparse.Namespace) -> None:
--- a/benchmarks/web_cost.py
+++ b/benchmarks/web_cost.py
@@ -1,9 +1,9 @@
-"""CPU and latency of the HTTP front for imported routing, beside the platform's front and a bare relay.
+"""CPU and latency of the HTTP front for imported routing, beside the platform front and a minimal relay.
 
     python -m benchmarks.web_cost [--seconds 4] [--open 16,128] [--bytes 16384] [--locations 100]
 
-Each is a process of its own in front of three servers that answer after 25 ms; they take turns within the
-run, twice. CPU is the measured process's alone, as a ratio to the platform's front. The table has so many
+Each runs as a process in front of three servers that respond after 25 ms; they are measured in turn, twice.
+CPU is that of the measured process, as a ratio to the platform front's. The routing table has `--locations`
 locations, ten of them regexes. Linux only.
 """
 
@@ -34,7 +34,7 @@
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
 
-from .http2_cost import Sample, Stage, measure
+from .http2_cost import BenchmarkProcesses, Sample, measure
 
 KINDS = ("relay", "platform", "web")
 ROUNDS = 2
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Front:
-    """One of the three fronts: its process, where it listens, and the ports of the servers behind it."""
+    """One of the three fronts: its process, its address, and the ports of the servers behind it."""
 
     pid: int
     address: str
@@ -54,7 +54,7 @@
 
 
 def build_site(servers: list[str], location_count: int) -> Site:
-    """Returns a table that proxies all its locations to these servers."""
+    """Returns a routing table that proxies all its locations to these servers."""
     rows = [UpstreamServerRow(address=server, defined_at="-") for server in servers]
     proxy = ProxySettings(set_fields=[["Host", "$host"], ["X-Real-IP", "$remote_addr"]])
     locations = [LocationRow(defined_at="-", pattern="/", upstream="u", proxy=proxy)]
@@ -71,21 +71,21 @@
 
 
 def start_http_front(
-    stage: Stage, servers: list[str], coordinator: Coordinator, location_count: int
+    processes: BenchmarkProcesses, servers: list[str], coordinator: Coordinator, location_count: int
 ) -> tuple[int, str]:
     """Starts a director with the HTTP front; returns its process id and address."""
     site = build_site(servers, location_count)
-    (stage.folder / "site.toml").write_text(write_site(site))
-    (stage.folder / "web.toml").write_text(
+    (processes.folder / "site.toml").write_text(write_site(site))
+    (processes.folder / "web.toml").write_text(
         "[front.http]\nsite = 'site.toml'\nlisten = { '127.0.0.1:0' = '*:80' }\n"
         "clients_most = 2000\nupstream_most = 2000\n"
     )
     config = config_for([], coordinator)
     config["limits"] = {"sockets": MAX_SOCKETS}
-    (stage.folder / "web.json").write_text(json.dumps(config))
-    process = stage.spawn(
-        "-m", "gladewalk", "run", "--config", str(stage.folder / "web.toml"),
-        env={"NODE_CONFIG": str(stage.folder / "web.json")}, stderr=subprocess.PIPE,
+    (processes.folder / "web.json").write_text(json.dumps(config))
+    process = processes.spawn(
+        "-m", "gladewalk", "run", "--config", str(processes.folder / "web.toml"),
+        env={"NODE_CONFIG": str(processes.folder / "web.json")}, stderr=subprocess.PIPE,
     )  # fmt: skip
     assert process.stderr is not None
     while (line := json.loads(process.stderr.readline()))["event"] != "serving":
@@ -93,23 +93,27 @@
     return process.pid, ":".join(map(str, line["web"][0]))
 
 
-async def start_front(kind: str, stage: Stage, size_bytes: int, location_count: int) -> Front:
+async def start_front(
+    kind: str, processes: BenchmarkProcesses, size_bytes: int, location_count: int
+) -> Front:
     """Starts a front of this kind with servers of its own."""
-    servers, coordinator = stage.start_servers("h1", size_bytes), await Coordinator().start()
+    servers, coordinator = processes.start_servers("h1", size_bytes), await Coordinator().start()
     if kind == "relay":
-        pid, address = stage.start_relay(servers)
+        pid, address = processes.start_relay(servers)
     elif kind == "platform":
-        pid, address = await asyncio.to_thread(stage.start_director, "http1", servers, coordinator)
+        pid, address = await asyncio.to_thread(processes.start_director, "http1", servers, coordinator)
     else:
-        pid, address = await asyncio.to_thread(start_http_front, stage, servers, coordinator, location_count)
+        pid, address = await asyncio.to_thread(
+            start_http_front, processes, servers, coordinator, location_count
+        )
     return Front(pid, address, {int(server.split(":")[1]) for server in servers})
 
 
 async def compare(
-    stage: Stage, levels: list[int], seconds: float, size_bytes: int, location_count: int
+    processes: BenchmarkProcesses, levels: list[int], seconds: float, size_bytes: int, location_count: int
 ) -> None:
     """Measures all fronts at each level of open requests and prints a line for each."""
-    fronts = {kind: await start_front(kind, stage, size_bytes, location_count) for kind in KINDS}
+    fronts = {kind: await start_front(kind, processes, size_bytes, location_count) for kind in KINDS}
     print("open  kind      CPU us/req  of platform  p50 ms  p99 ms  RSS MB  served  failed")
     for level in levels:
         samples = {kind: Sample() for kind in KINDS}
@@ -145,11 +149,11 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(MAX_DESCRIPTORS, hard_limit), hard_limit))
     levels = [int(level) for level in options.open.split(",")]
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(Path(folder))
+        processes = BenchmarkProcesses(Path(folder))
         try:
-            uvloop.run(compare(stage, levels, options.seconds, options.bytes, options.locations))
+            uvloop.run(compare(processes, levels, options.seconds, options.bytes, options.locations))
         finally:
-            stage.close()
+            processes.close()
     return 0
 
 
