--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -3,10 +3,11 @@
     python -m benchmarks.duties [--directors 4] [--boxes 12] [--kills 100] [--interval 500] [--loss 0]
 
 Every director is a process. First all of them run undisturbed: it prints suspicions and deaths of live
-members, and bytes a second, from the directors' control sockets. Then they are killed and restarted, one after
-another. The number of checks per server and interval covers all of that time, including kills, takeovers
-and restarts. A takeover is the time from SIGKILL until a server receives its first check on a connection that
-is not the killed director's. `--loss` is the fraction of all datagrams that is lost. 100 kills take eight minutes.
+members, and bytes a second, from the directors' control sockets. Then they are killed and restarted, one
+after another. The number of checks per server and interval covers all of that time, including kills,
+takeovers and restarts. A takeover is the time from SIGKILL until a server receives its first check on a
+connection that is not the killed director's. `--loss` is the fraction of all datagrams that is lost. 100
+kills take eight minutes.
 """
 
 from __future__ import annotations
--- a/benchmarks/nginx_agreement.py
+++ b/benchmarks/nginx_agreement.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.nginx_agreement [--count 100000] [--seed 1]
 
-The literal search belongs to the tests and shares no code with the router. The first disagreement ends the run
-with exit code 1 and prints the tree and the URI.
+The literal search belongs to the tests and shares no code with the router. The first disagreement ends the
+run with exit code 1 and prints the tree and the URI.
 """
 
 from __future__ import annotations
--- a/benchmarks/nginx_routes.py
+++ b/benchmarks/nginx_routes.py
@@ -3,9 +3,9 @@
     python -m benchmarks.nginx_routes [--seed 1]
 
 It prints the microseconds that it takes to route a request from the text of its target to its upstream, as
-the median and 99th percentile of some thousand random URIs: with prefixes only, and with prefixes and regexes,
-where each URI is compared with all regexes and matches none. Then it prints the cost of regexes that backtrack
-excessively, under the router's match limit and under nginx's own limit.
+the median and 99th percentile of some thousand random URIs: with prefixes only, and with prefixes and
+regexes, where each URI is compared with all regexes and matches none. Then it prints the cost of regexes
+that backtrack excessively, under the router's match limit and under nginx's own limit.
 """
 
 from __future__ import annotations
