--- a/benchmarks/bids.py
+++ b/benchmarks/bids.py
@@ -51,7 +51,7 @@
     print(f"  answers: {dict(sorted(statuses.items()))} (0: begun and cut)")
     print(f"  {violations_line(reports)}")
     recovery_ratio = recovered / max(1, interrupted)
-    print(f"  met a break: {interrupted}; served all the same: {recovered} ({recovery_ratio:.1%})")
+    print(f"  interrupted: {interrupted}; served after that: {recovered} ({recovery_ratio:.1%})")
     if findings:
         proved = sum(findings[reason.value] for reason in UNPROCESSED_REASONS)
         print(f"  streams lost {sum(findings.values())}, of these with proof {proved}: {dict(findings)}")
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -128,7 +128,7 @@
             else "none"
         )
         print(
-            f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} taken on, ms {times_text}"
+            f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} handed over, ms {times_text}"
         )
     if plot:
         plot_handovers(times, plot)
--- a/benchmarks/silent_box.py
+++ b/benchmarks/silent_box.py
@@ -168,7 +168,9 @@
         for number in range(arguments.rounds)
         for is_shared in (False, True)
     ]
-    print(f"{arguments.rounds} rounds each; {OBSERVED_SECONDS:.0f} s from the silence on; a round's mean")
+    print(
+        f"{arguments.rounds} rounds each; {OBSERVED_SECONDS:.0f} s after a cache stopped responding; means of a round"
+    )
     for is_shared in (False, True):
         selected = [round_ for round_ in rounds if round_.is_shared is is_shared]
         mean = {name: statistics.mean(getattr(round_, name) for round_ in selected) for name in COUNTS}
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,6 +1,6 @@
 """The soak: `python -m benchmarks.soak [--quick] [--seeds N] [--first N] [--jobs N]`.
 
-    python -m benchmarks.soak --seed 17 [--without 2,5]    # repeats one run
+    python -m benchmarks.soak --seed 17 [--without 2,5]    # repeats one run; prints its timeline if it fails
     python -m benchmarks.soak --broken NAME                # breaks one rule of the director; must fail
 
 Each seed generates a deployment and faults, and the run applies them to real processes. The last line counts
--- a/benchmarks/soak/checker.py
+++ b/benchmarks/soak/checker.py
@@ -147,7 +147,7 @@
     elif request.status == REQUEST_TIMEOUT and request.sent_s > request.first_byte_s + MAX_REQUEST_READ_S:
         verdict.ends["sent too slowly"] += 1
     elif request.status not in FAILURES:
-        verdict.wrong.append(f"{request.trace_id} answered {request.status}")
+        verdict.wrong.append(f"{request.trace_id} unexpected status {request.status}")
 
 
 def _check_body(verdict: Verdict, request: RequestRecord, history: History) -> None:
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -182,15 +182,15 @@
 
 
 def _draw_syscalls(rng: random.Random) -> tuple[SyscallFault, ...]:
-    drawn = []
+    syscall_faults = []
     for _ in range(rng.randint(1, 4)):
         kind = rng.choice(SYSCALL_KINDS)
         begin_ms = rng.randint(MIN_SYSCALL_FAULT_MS, int(DURATION_S * 1000))
         if kind is FaultKind.CLOCK_STEP:
             end_ms = begin_ms + rng.choice((300, 2_000, 600_000))
-            drawn.append(SyscallFault(begin_ms, end_ms, kind, rng.choice(CLOCK_STEPS_MS)))
+            syscall_faults.append(SyscallFault(begin_ms, end_ms, kind, rng.choice(CLOCK_STEPS_MS)))
             continue
         number = rng.choice(ERRORS_BY_KIND.get(kind, (0,)))
         end_ms = begin_ms + rng.choice((50, 400, 1_500))
-        drawn.append(SyscallFault(begin_ms, end_ms, kind, number, rng.choice((5, 30, 80))))
-    return tuple(drawn)
+        syscall_faults.append(SyscallFault(begin_ms, end_ms, kind, number, rng.choice((5, 30, 80))))
+    return tuple(syscall_faults)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -210,7 +210,7 @@
 
 def print_recovery(record_counts: list[int], parent_directory: str | None) -> None:
     """Prints the table of recovery."""
-    print("records  recovery s  MB held at the most  bytes on disk")
+    print("records  recovery s       peak memory MB  bytes on disk")
     for count in record_counts:
         with tempfile.TemporaryDirectory(dir=parent_directory) as directory:
             total_bytes = write_store(Path(directory), count)
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -58,7 +58,7 @@
 
 
 async def send_load(director: DirectorProcess, rng: random.Random) -> None:
-    """Sends requests for drawn objects, one after another, while the director is up."""
+    """Sends requests for random objects, one after another, while the director is up."""
     number = rng.getrandbits(40)
     while director.is_up:
         number += 1
