--- a/benchmarks/members_faults.py
+++ b/benchmarks/members_faults.py
@@ -27,7 +27,7 @@
 from gladewalk.faultnet.expected_failures import expected_failures
 from gladewalk.faultnet.fleet import Fleet
 from gladewalk.faultnet.membership_cases import CASES, FaultCase
-from gladewalk.faultnet.nemesis import play_schedule
+from gladewalk.faultnet.nemesis import run_schedule
 from gladewalk.faultnet.schedule import FaultKind
 from gladewalk.members.config import MembershipConfig
 from gladewalk.members.history import (
@@ -38,7 +38,7 @@
 )
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
-from gladewalk.rehearsal.member_faults import play as play_simulated
+from gladewalk.rehearsal.member_faults import run_schedule as run_simulated_schedule
 from gladewalk.rehearsal.member_network import cluster
 
 MAX_STALL_MS = MembershipConfig().max_stall_ms
@@ -84,7 +84,7 @@
     ended_ms = started_ms + max(fault.at_ms + fault.duration_ms for fault in faults)
     expected = expected_failures(faults, names, started_ms, MAX_STALL_MS)
     detection_ms: tuple[float, ...] = ()
-    if case.must_be_found_dead:
+    if case.must_be_declared_dead:
         victim = faults[0].targets[0]
         observers = set(names) - {victim}
         measured = detection_times_ms(changes, victim, started_ms, observers)
@@ -143,7 +143,7 @@
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
     before, started_ms = count_traffic(fleet), time.time() * 1000.0
-    await play_schedule(fleet, case.faults(fleet.names))
+    await run_schedule(fleet, case.faults(fleet.names))
     traffic = before.rate_until(count_traffic(fleet), len(fleet.names))
     await has_converged(fleet, MAX_CONVERGE_SECONDS)
     await asyncio.sleep(SETTLE_SECONDS)
@@ -154,7 +154,7 @@
     """Runs a case on a simulated network and prints its result."""
     net = cluster(size, seed, settle_ms=SIMULATED_SETTLE_MS)
     names, started_ms, before = tuple(net.nodes), net.now_ms, count_simulated(net)
-    play_simulated(net, case.faults(names))
+    run_simulated_schedule(net, case.faults(names))
     traffic = before.rate_until(count_simulated(net), size)
     net.run(SIMULATED_CONVERGE_MS)
     result = evaluate(case, names, net.observed, started_ms, traffic)
@@ -211,7 +211,7 @@
         for size in sizes
         for run in range(runs)
         for case in CASES
-        if size > max(case.victims, default=0)
+        if size > max(case.target_indexes, default=0)
     ]
     return list(await asyncio.gather(*runs_of_cases))
 
--- a/benchmarks/silent_box.py
+++ b/benchmarks/silent_box.py
@@ -69,7 +69,7 @@
         if request.path == "/load":
             self.health_checks += 1
         if request.server.uid != self.unresponsive:
-            return await request.answer(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
+            return await request.respond(200, b"page", X_Remark="mem", X_Meter="util:0.1;x0:0.9")
         if request.path != "/load":
             self.attempts += 1
             self.last_attempt_seconds = time.monotonic() - self.unresponsive_since
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -54,7 +54,7 @@
             max_age_ms = float(request.headers.get("no-older-than", "1e12"))
             # By the server's clock, the oldest copy that the bound allows must not be from before the purge.
             self.violation_count += time.time() * 1000.0 - max_age_ms < self.purged_at_ms[name]
-        await request.answer(200, b"copy", X_Remark="mem")
+        await request.respond(200, b"copy", X_Remark="mem")
 
 
 async def send_load(director: DirectorProcess, rng: random.Random) -> None:
--- a/benchmarks/store_served.py
+++ b/benchmarks/store_served.py
@@ -46,7 +46,7 @@
 
 async def serve(request: ReceivedRequest) -> None:
     """Responds as a cache that has every object."""
-    await request.answer(200, b"copy", X_Remark="mem")
+    await request.respond(200, b"copy", X_Remark="mem")
 
 
 async def send_requests(
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -105,9 +105,9 @@
         self.response_counts[outcome] += self.is_counting
         if remark:
             body = b"copy" if status == 200 else b""
-            await request.answer(status, body, X_Remark=remark, Fill_Wait="1.0")
+            await request.respond(status, body, X_Remark=remark, Fill_Wait="1.0")
         else:
-            await request.answer(status)
+            await request.respond(status)
 
 
 async def send_load(
--- a/gladewalk/faultpoints/lease_scenario.py
+++ b/gladewalk/faultpoints/lease_scenario.py
@@ -7,7 +7,7 @@
 
 from ..errors import GladewalkError
 from ..leases.configuration import LeaseConfig
-from ..leases.history import check
+from ..leases.history import check_history
 from ..leases.messages import decode, encode
 from ..leases.outputs import Output, Save, Send
 from ..rehearsal.lease_simulation import TASKS, LeaseSimulation, SimulatedDirector
@@ -119,12 +119,12 @@
     # Back, it grants nothing for as long as it may have promised to.
     simulation.kill(simulation.names[-1], FIRST_DOWN_MS)
     simulation.run_until(HAND_ON_MS)
-    simulation.hand_on()
+    simulation.release_all_leases()
     simulation.run_until(END_MS - QUIET_MS)
     injector.is_counting = False
     simulation.run_until(END_MS)
     records = simulation.fence.records
-    verdict, overlaps = check(records, END_MS), simulation.beliefs.count_overlaps()
+    verdict, overlaps = check_history(records, END_MS), simulation.beliefs.count_overlaps()
     if not verdict.is_safe or overlaps:
         return f"{verdict} and {overlaps} beliefs that cross"
     held = {
