--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.checks: dict[str, list[ReceivedCheck]] = {}  # by server
 
-    async def respond(self, request: ReceivedRequest) -> None:
+    async def serve(self, request: ReceivedRequest) -> None:
         """Records a check and responds to it."""
         check = ReceivedCheck(time.monotonic(), request.writer)
         self.checks.setdefault(request.server.uid, []).append(check)
@@ -173,7 +173,7 @@
 async def run_benchmark(directors: int, servers: int, kills: int, interval_ms: float, loss: float) -> None:
     """Starts the fleet, measures it without and with kills, and prints the measurements."""
     recorder, coordinator = CheckRecorder(), await Coordinator().start()
-    peers = [await ScriptedServer(recorder.respond, f"c{number}").start() for number in range(servers)]
+    peers = [await ScriptedServer(recorder.serve, f"c{number}").start() for number in range(servers)]
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), config_for(peers, coordinator), interval_ms, loss)
         takeovers_ms: list[float] = []
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -127,9 +127,7 @@
             if measured_ms
             else "none"
         )
-        print(
-            f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} handed over, ms {times_text}"
-        )
+        print(f"handover after {kind} at {count}: {len(measured_ms)} of {len(all_ms)} done, ms {times_text}")
     if plot:
         plot_handovers(times, plot)
     overlaps, stale = sum(v.overlaps for v in verdicts), sum(v.stale_accepted for v in verdicts)
--- a/benchmarks/silent_box.py
+++ b/benchmarks/silent_box.py
@@ -64,7 +64,7 @@
     requests: int = 0
     health_checks: int = 0
 
-    async def respond(self, request: ReceivedRequest) -> None:
+    async def serve(self, request: ReceivedRequest) -> None:
         """Responds to a request at a cache, unless that cache is unresponsive."""
         if request.path == "/load":
             self.health_checks += 1
@@ -136,7 +136,7 @@
     """Runs one round and returns its counts."""
     rng, round_ = random.Random(seed), Round(is_shared)
     coordinator = await Coordinator().start()
-    caches = [await ScriptedServer(round_.respond, f"c{number}").start() for number in range(CACHE_COUNT)]
+    caches = [await ScriptedServer(round_.serve, f"c{number}").start() for number in range(CACHE_COUNT)]
     await start_directors(round_, director_count, caches, coordinator)
     load = asyncio.create_task(send_load(round_, rng, rate))
     await asyncio.sleep(2.0 + rng.random())
@@ -168,9 +168,7 @@
         for number in range(arguments.rounds)
         for is_shared in (False, True)
     ]
-    print(
-        f"{arguments.rounds} rounds each; {OBSERVED_SECONDS:.0f} s after a cache stopped responding; means of a round"
-    )
+    print(f"{arguments.rounds} rounds each; {OBSERVED_SECONDS:.0f} s after the fault; means of a round")
     for is_shared in (False, True):
         selected = [round_ for round_ in rounds if round_.is_shared is is_shared]
         mean = {name: statistics.mean(getattr(round_, name) for round_ in selected) for name in COUNTS}
--- a/benchmarks/soak/directors.py
+++ b/benchmarks/soak/directors.py
@@ -198,7 +198,7 @@
 
         Args:
             pid: The process.
-            number: How many reports of counters its log then has.
+            number: The number of counter reports that its log has after this request.
         """
         self.send(signal.SIGUSR1)
         reports: list[str] = []
