--- a/benchmarks/bids.py
+++ b/benchmarks/bids.py
@@ -2,7 +2,8 @@
 
     python -m benchmarks.bids [--seeds 20] [--count 2500] [--part 0.1]
 
-The default of 20 seeds with 2,500 bids each takes some two minutes. The exit code is 1 if a rule was broken.
+The default is 50,000 bids, 20 seeds with 2,500 each, which take some two minutes. The exit code is 1 if a
+rule was broken.
 """
 
 from __future__ import annotations
--- a/benchmarks/dns_load.py
+++ b/benchmarks/dns_load.py
@@ -4,8 +4,8 @@
 
 Each transport is compared with a bare responder, a process that responds to each query with the same record
 without parsing it. Clients are two processes, each with a fixed number of open queries. Then HTTP requests
-are sent to a director at a fixed rate, without a flood and during a flood of as many queries as one process
-can send, with the budget `all_per_s` and without it; p50 and p99 are printed.
+are sent to a director at a fixed rate, without a flood and while its DNS front gets as many queries as one
+process can send, with the budget `all_per_s` and without it; p50 and p99 are printed.
 """
 
 from __future__ import annotations
--- a/benchmarks/soak/scheduling.py
+++ b/benchmarks/soak/scheduling.py
@@ -29,7 +29,7 @@
 
 
 class ArrivalSelector(selectors.DefaultSelector):
-    """A selector that records for each iteration since when the events that it returns can have arrived.
+    """A selector that records, for each iteration, the earliest time at which its events can have arrived.
 
     Attributes:
         empty_until_s: That time for the last iterations, the current one last; monotonic seconds.
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -20,7 +20,7 @@
 # Delays of a response that a duplicate follows; they keep connections busy.
 DELAYS_BEFORE_DUPLICATES_S = (0.0, 0.03, 0.08)
 DUPLICATE_DELAYS_S = (0.0, 0.003, 0.01, 0.03, 0.045)  # after the first response
-MAX_DUPLICATE_DELAY_S = 0.05
+MAX_DUPLICATE_DELAY_S = 0.05  # if the event loop is delayed for longer, the duplicate is not sent
 IDENTICAL_FRACTION = 0.5  # of the duplicates have the same bytes as the first response
 # Malformed responses of which no byte may reach a client. Wrong bytes in a body of the right length are not
 # among them, as a director can't detect those.
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -1,4 +1,4 @@
-"""Gain of a warm start: which servers fill misses in the first 30 s after a restart.
+"""Gain of a warm start: which servers fill misses, and what parents must fetch, in the 30 s after a restart.
 
     python -m benchmarks.warm_start [--objects 300] [--keeps 40] [--zipf 0] [--parent-keeps 60]
 
