--- a/gladewalk/dns/conform/cases_edns.py
+++ b/gladewalk/dns/conform/cases_edns.py
@@ -32,15 +32,15 @@
     target: Target, options: bytes = b"", opt_count: int = 1, ttl: int = 0, payload: int = 1232
 ) -> bytes:
     """Returns a query with raw OPT records, for what the library does not write."""
-    plain = bytearray(target.query(target.zone, "SOA").to_wire())
+    plain = bytearray(target.build_query(target.zone, "SOA").to_wire())
     plain[10:12] = opt_count.to_bytes(2, "big")
     opt = b"\0" + struct.pack(">HHIH", OPT_TYPE, payload, ttl, len(options)) + options
     return bytes(plain) + opt * opt_count
 
 
-def ask_with_options(target: Target, *options: dns.edns.Option, **more: Any) -> dns.message.Message:
+def lookup_with_options(target: Target, *options: dns.edns.Option, **more: Any) -> dns.message.Message:
     """Returns the response to a query with options."""
-    return target.ask(target.zone, "SOA", use_edns=0, options=list(options), **more)
+    return target.lookup(target.zone, "SOA", use_edns=0, options=list(options), **more)
 
 
 def generic_option(code: int, data: bytes = b"") -> dns.edns.Option:
@@ -65,7 +65,7 @@
 @CASES.case(6891, "7")
 def no_opt_unasked(target: Target) -> None:
     """Who does not speak EDNS is not spoken to in it."""
-    expect(target.ask(target.zone, "SOA").edns < 0, "an OPT")
+    expect(target.lookup(target.zone, "SOA").edns < 0, "an OPT")
 
 
 def check_has_opt(kind: str, target: Target) -> None:
@@ -76,7 +76,7 @@
         "refused": (target.zone.parent(), "A"),
         "nodata": (target.zone, "TXT"),
     }
-    response = target.ask(*queries[kind], use_edns=0)
+    response = target.lookup(*queries[kind], use_edns=0)
     expect(response.edns == 0, f"version {response.edns}")
 
 
@@ -93,20 +93,20 @@
 @CASES.case(6891, "6.2.3")
 def payload_told(target: Target) -> None:
     """The size that it takes itself is told, and is 512 at the least."""
-    response = target.ask(target.zone, "SOA", use_edns=0)
+    response = target.lookup(target.zone, "SOA", use_edns=0)
     expect(response.payload >= MAX_PLAIN_UDP_BYTES, f"{response.payload}")
 
 
 @CASES.case(6891, "6.2.5")
 def payload_unfragmented(target: Target) -> None:
     """What it takes passes common paths in one piece (as of 2020: up to 1,232 bytes, 4,096 at the most)."""
-    expect(target.ask(target.zone, "SOA", use_edns=0).payload <= 4_096, "more than 4,096")
+    expect(target.lookup(target.zone, "SOA", use_edns=0).payload <= 4_096, "more than 4,096")
 
 
 @CASES.case(6891, "6.2.5")
 def payload_tiny(target: Target) -> None:
     """A size under 512 is taken for 512."""
-    response = target.ask(target.zone, "SOA", use_edns=0, payload=100)
+    response = target.lookup(target.zone, "SOA", use_edns=0, payload=100)
     expect(response.answer and not response.flags & dns.flags.TC, "cut")
 
 
@@ -114,13 +114,13 @@
 def payload_kept(target: Target) -> None:
     """No answer is longer than its asker takes."""
     for name, rdtype in ((target.zone, "NS"), (target.zone, "SOA"), (target.below("no-such-name"), "A")):
-        wire = target.udp(target.query(name, rdtype, use_edns=0, payload=512).to_wire())
+        wire = target.exchange_udp(target.build_query(name, rdtype, use_edns=0, payload=512).to_wire())
         expect(len(wire) <= MAX_PLAIN_UDP_BYTES, f"{len(wire)} bytes")
 
 
 def check_badvers(version: int, target: Target) -> None:
     """Requires BADVERS and version 0 for a query of another version."""
-    response = target.answer(target.query(target.zone, "SOA", use_edns=version))
+    response = target.send_query(target.build_query(target.zone, "SOA", use_edns=version))
     expect(response.rcode() == dns.rcode.BADVERS, f"{response.rcode().name}, not BADVERS")
     expect(response.edns == 0, f"its own version is told as {response.edns}")
     expect(not response.answer, "records all the same")
@@ -139,7 +139,7 @@
 @CASES.case(6891, "6.1.4")
 def flags_unknown(target: Target) -> None:
     """Unknown flags are ignored, and not sent back."""
-    response = target.read(target.udp(raw_query(target, ttl=0x00007FFF)))
+    response = target.parse_response(target.exchange_udp(raw_query(target, ttl=0x00007FFF)))
     expect(response.rcode() == dns.rcode.NOERROR, response.rcode().name)
     expect(not response.ednsflags & 0x7FFF, f"flags {response.ednsflags:x}")
 
@@ -147,14 +147,14 @@
 @CASES.case(3225, "3")
 def do_copied(target: Target) -> None:
     """DO goes back as it came."""
-    expect(target.ask(target.zone, "SOA", want_dnssec=True).ednsflags & dns.flags.DO, "DO is not set")
-    expect(not target.ask(target.zone, "SOA", use_edns=0).ednsflags & dns.flags.DO, "DO is set")
+    expect(target.lookup(target.zone, "SOA", want_dnssec=True).ednsflags & dns.flags.DO, "DO is not set")
+    expect(not target.lookup(target.zone, "SOA", use_edns=0).ednsflags & dns.flags.DO, "DO is set")
 
 
 @CASES.case(3225, "3")
 def do_adds_nothing(target: Target) -> None:
     """An unsigned zone has no signatures to add."""
-    response = target.ask(target.zone, "SOA", want_dnssec=True)
+    response = target.lookup(target.zone, "SOA", want_dnssec=True)
     expect(len(response.answer) == 1, f"{len(response.answer)} sets")
 
 
@@ -167,7 +167,7 @@
 @CASES.case(6891, "6.1.2")
 def opt_of_a_name(target: Target) -> None:
     """An OPT whose owner is not the root is FORMERR."""
-    plain = bytearray(target.query(target.zone, "SOA").to_wire())
+    plain = bytearray(target.build_query(target.zone, "SOA").to_wire())
     plain[10:12] = b"\0\1"
     expect_formerr(target, bytes(plain) + b"\1x\0" + struct.pack(">HHIH", OPT_TYPE, 1232, 0, 0))
 
@@ -186,7 +186,7 @@
 
 def check_unknown_option(code: int, target: Target) -> None:
     """Requires a response without an option that the server cannot know."""
-    response = ask_with_options(target, generic_option(code, b"abc"))
+    response = lookup_with_options(target, generic_option(code, b"abc"))
     expect(find_option(response, code) is None, "sent back")
 
 
@@ -203,7 +203,7 @@
 @CASES.case(6891, "6.1.2")
 def options_many(target: Target) -> None:
     """Many unknown options are ignored, too."""
-    response = ask_with_options(target, *(generic_option(65_100 + n, bytes(n)) for n in range(30)))
+    response = lookup_with_options(target, *(generic_option(65_100 + n, bytes(n)) for n in range(30)))
     expect(response.rcode() == dns.rcode.NOERROR and response.answer, response.rcode().name)
 
 
@@ -213,13 +213,13 @@
 @CASES.case(5001, "2.1")
 def nsid_unasked(target: Target) -> None:
     """NSID is told to those who ask alone."""
-    expect(find_option(target.ask(target.zone, "SOA", use_edns=0), NSID) is None, "told unasked")
+    expect(find_option(target.lookup(target.zone, "SOA", use_edns=0), NSID) is None, "told unasked")
 
 
 @CASES.case(5001, "2.2")
 def nsid_asked(target: Target) -> None:
     """Who asks for it hears it, where there is one."""
-    found = find_option(ask_with_options(target, generic_option(NSID)), NSID)
+    found = find_option(lookup_with_options(target, generic_option(NSID)), NSID)
     if found is None:
         raise CheckSkippedError("no NSID is set")
     expect(len(found.to_wire() or b"") > 0, "an empty one")
@@ -228,14 +228,16 @@
 @CASES.case(7828, "3.2.1")
 def keepalive_by_udp(target: Target) -> None:
     """Keep-alive means nothing by UDP, and is not sent back."""
-    expect(find_option(ask_with_options(target, generic_option(KEEPALIVE)), KEEPALIVE) is None, "sent back")
+    expect(
+        find_option(lookup_with_options(target, generic_option(KEEPALIVE)), KEEPALIVE) is None, "sent back"
+    )
 
 
 @CASES.case(7828, "3.3.2")
 def keepalive_by_tcp(target: Target) -> None:
     """By TCP it tells for how long a connection may idle."""
-    query = target.query(target.zone, "SOA", use_edns=0, options=[generic_option(KEEPALIVE)])
-    found = find_option(target.tcp(query)[0], KEEPALIVE)
+    query = target.build_query(target.zone, "SOA", use_edns=0, options=[generic_option(KEEPALIVE)])
+    found = find_option(target.exchange_tcp(query)[0], KEEPALIVE)
     expect(found is not None and len(found.to_wire() or b"") == 2, f"{found}")
 
 
@@ -243,7 +245,8 @@
 def padding_by_udp(target: Target) -> None:
     """Padding by UDP is not answered in kind: it would only amplify."""
     expect(
-        find_option(ask_with_options(target, generic_option(PADDING, bytes(20))), PADDING) is None, "padded"
+        find_option(lookup_with_options(target, generic_option(PADDING, bytes(20))), PADDING) is None,
+        "padded",
     )
 
 
@@ -280,13 +283,13 @@
 @CASES.case(7871, "7.2.1")
 def ecs_unasked(target: Target) -> None:
     """No client subnet is told to who sent none."""
-    expect(find_option(target.ask(target.zone, "SOA", use_edns=0), ECS) is None, "told unasked")
+    expect(find_option(target.lookup(target.zone, "SOA", use_edns=0), ECS) is None, "told unasked")
 
 
 @CASES.case(7871, "7.2.1")
 def ecs_echoed(target: Target) -> None:
     """Where one is sent back, family, source and address are those of the question."""
-    response = ask_with_options(target, dns.edns.ECSOption("192.0.2.0", 24))
+    response = lookup_with_options(target, dns.edns.ECSOption("192.0.2.0", 24))
     found = find_option(response, ECS)
     if found is None:
         raise CheckSkippedError("this asker is not trusted to send one")
@@ -298,7 +301,7 @@
 @CASES.case(7871, "7.1.2")
 def ecs_zero(target: Target) -> None:
     """A /0 is legal: its client wants not to be known."""
-    response = ask_with_options(target, dns.edns.ECSOption("0.0.0.0", 0))
+    response = lookup_with_options(target, dns.edns.ECSOption("0.0.0.0", 0))
     expect(response.rcode() == dns.rcode.NOERROR and response.answer, response.rcode().name)
 
 
@@ -317,7 +320,7 @@
     Raises:
         CheckSkippedError: There is none.
     """
-    received = find_cookie(ask_with_options(target, generic_option(COOKIE, client_cookie)))
+    received = find_cookie(lookup_with_options(target, generic_option(COOKIE, client_cookie)))
     if received is None:
         raise CheckSkippedError("cookies are off")
     return received
@@ -341,7 +344,7 @@
 @CASES.case(7873, "5.2")
 def cookie_unasked(target: Target) -> None:
     """Who sends no cookie gets none."""
-    expect(find_cookie(target.ask(target.zone, "SOA", use_edns=0)) is None, "a cookie unasked")
+    expect(find_cookie(target.lookup(target.zone, "SOA", use_edns=0)) is None, "a cookie unasked")
 
 
 @CASES.case(7873, "5.2.3")
@@ -371,7 +374,7 @@
 def cookie_shown(target: Target) -> None:
     """Its own cookie is taken, and answered with one."""
     received = request_cookie(target, CLIENT_COOKIE)
-    response = ask_with_options(target, generic_option(COOKIE, received))
+    response = lookup_with_options(target, generic_option(COOKIE, received))
     expect(response.rcode() == dns.rcode.NOERROR and response.answer, response.rcode().name)
     expect((find_cookie(response) or b"")[:8] == CLIENT_COOKIE, "no cookie back")
 
@@ -381,7 +384,7 @@
     """A forged server's part is answered with a good one, as an answer or as BADCOOKIE."""
     received = request_cookie(target, CLIENT_COOKIE)
     forged = received[:-1] + bytes([received[-1] ^ 1])
-    response = ask_with_options(target, generic_option(COOKIE, forged))
+    response = lookup_with_options(target, generic_option(COOKIE, forged))
     expect(response.rcode() in (dns.rcode.NOERROR, dns.rcode.BADCOOKIE), response.rcode().name)
     expect(find_cookie(response) not in (None, forged), "no fresh cookie")
 
@@ -393,6 +396,6 @@
     query = dns.message.Message()
     query.use_edns(0, options=[generic_option(COOKIE, CLIENT_COOKIE)])
     query.flags = dns.flags.Flag(0)
-    response = target.read(target.udp(query.to_wire()))
+    response = target.parse_response(target.exchange_udp(query.to_wire()))
     expect(response.rcode() == dns.rcode.NOERROR and not response.question, response.rcode().name)
     expect((find_cookie(response) or b"")[:8] == CLIENT_COOKIE, "no cookie")
--- a/gladewalk/dns/conform/cases_header.py
+++ b/gladewalk/dns/conform/cases_header.py
@@ -47,11 +47,11 @@
     """Returns the query of a kind, and its expected response."""
     match kind:
         case QueryKind.ROUTED:
-            return ExpectedResponse(target.routed, "A")
+            return ExpectedResponse(target.routed_name, "A")
         case QueryKind.APEX:
             return ExpectedResponse(target.zone, "SOA")
         case QueryKind.NODATA:
-            return ExpectedResponse(target.routed, "TXT")
+            return ExpectedResponse(target.routed_name, "TXT")
         case QueryKind.NXDOMAIN:
             return ExpectedResponse(target.below("no-such-name"), "A", dns.rcode.NXDOMAIN)
         case QueryKind.EMPTY:
@@ -76,10 +76,10 @@
 ) -> tuple[dns.message.Message, dns.message.Message]:
     """Sends the query of a kind by UDP; returns both messages."""
     expected = expected_response(kind, target)
-    query = target.query(expected.name, expected.rdtype)
+    query = target.build_query(expected.name, expected.rdtype)
     if is_recursion_desired:
         query.flags |= dns.flags.RD
-    return query, target.answer(query)
+    return query, target.send_query(query)
 
 
 def check_code(kind: QueryKind, target: Target) -> None:
@@ -119,15 +119,15 @@
     """Requires neither AD nor CD."""
     query, _ = query_and_response(kind, target)
     query.flags |= dns.flags.AD | dns.flags.CD
-    response = target.answer(query)
+    response = target.send_query(query)
     expect(not response.flags & (dns.flags.AD | dns.flags.CD), "AD or CD is set without DNSSEC")
 
 
 def check_question(kind: QueryKind, target: Target) -> None:
     """Requires the question as it was sent, in its case."""
     expected = expected_response(kind, target)
-    query = target.query(mixed_case(expected.name), expected.rdtype)
-    response = target.answer(query)
+    query = target.build_query(mixed_case(expected.name), expected.rdtype)
+    response = target.send_query(query)
     expect(len(response.question) == 1, f"{len(response.question)} questions are sent back")
     sent, returned = query.question[0], response.question[0]
     expect(sent.name.labels == returned.name.labels, f"the case was not kept: {returned.name}")
@@ -137,14 +137,14 @@
 def check_size(kind: QueryKind, target: Target) -> None:
     """Requires at most 512 bytes without EDNS."""
     expected = expected_response(kind, target)
-    wire = target.udp(target.query(expected.name, expected.rdtype).to_wire())
+    wire = target.exchange_udp(target.build_query(expected.name, expected.rdtype).to_wire())
     expect(len(wire) <= MAX_PLAIN_UDP_BYTES, f"{len(wire)} bytes without EDNS")
 
 
 def check_same_by_tcp(kind: QueryKind, target: Target) -> None:
     """Requires the same code and record sets by UDP and TCP."""
     query, by_udp = query_and_response(kind, target)
-    (by_tcp,) = target.tcp(query)
+    (by_tcp,) = target.exchange_tcp(query)
     expect(by_udp.rcode() == by_tcp.rcode(), f"{by_udp.rcode().name} by UDP, {by_tcp.rcode().name} by TCP")
     udp_sets, tcp_sets = (
         {(rrset.name, rrset.rdtype) for rrset in response.answer} for response in (by_udp, by_tcp)
--- a/gladewalk/dns/conform/cases_messages.py
+++ b/gladewalk/dns/conform/cases_messages.py
@@ -24,7 +24,7 @@
 
 def expect_formerr(target: Target, wire: bytes) -> None:
     """Requires FORMERR for raw bytes, in a response that does not amplify them."""
-    response = target.udp(wire)
+    response = target.exchange_udp(wire)
     rcode = response[3] & RCODE_MASK
     expect(response[:2] == wire[:2], "another id")
     expect(response[2] & QR_BIT, "QR is not set")
@@ -34,7 +34,7 @@
 
 def soa_query(target: Target) -> bytearray:
     """Returns the bytes of a correct query."""
-    return bytearray(target.query(target.zone, "SOA").to_wire())
+    return bytearray(target.build_query(target.zone, "SOA").to_wire())
 
 
 def with_counts(target: Target, questions: int, records: tuple[int, int, int] = (0, 0, 0)) -> bytes:
@@ -53,7 +53,7 @@
     """Requires NOTIMP with the query's opcode."""
     wire = soa_query(target)
     wire[2] = wire[2] & ~(OPCODE_MASK << OPCODE_SHIFT) | opcode << OPCODE_SHIFT
-    response = target.udp(bytes(wire))
+    response = target.exchange_udp(bytes(wire))
     rcode = response[3] & RCODE_MASK
     expect(rcode == dns.rcode.NOTIMP, f"code {rcode}, not NOTIMP")
     expect(response[2] >> OPCODE_SHIFT & OPCODE_MASK == opcode, "another opcode goes back")
@@ -163,7 +163,7 @@
 @CASES.case(1035, "2.3.4")
 def longest_label(target: Target) -> None:
     """A label of 63 bytes is legal."""
-    response = target.ask(target.below("a" * 63))
+    response = target.lookup(target.below("a" * 63))
     expect(response.rcode() == dns.rcode.NXDOMAIN, response.rcode().name)
 
 
@@ -179,7 +179,7 @@
     labels = [b"a" * min(MAX_LABEL_BYTES, room_bytes - 1)]
     while (left_bytes := room_bytes - name_bytes(labels)) >= 2:
         labels.append(b"b" * min(MAX_LABEL_BYTES, left_bytes - 1))
-    response = target.ask(dns.name.Name((*labels, *target.zone.labels)))
+    response = target.lookup(dns.name.Name((*labels, *target.zone.labels)))
     expect(response.rcode() == dns.rcode.NXDOMAIN, response.rcode().name)
 
 
@@ -187,7 +187,7 @@
 def any_byte_in_a_label(target: Target) -> None:
     """Labels of any bytes are legal: dots, zeros, bytes above 127."""
     name = dns.name.Name((b"a.b\0\xff ", *target.zone.labels))
-    response = target.ask(name)
+    response = target.lookup(name)
     expect(response.rcode() == dns.rcode.NXDOMAIN, response.rcode().name)
     expect(response.question[0].name.labels == name.labels, "the question came back changed")
 
@@ -204,7 +204,7 @@
 @CASES.case(8945, "5.2")
 def signed_with_an_unknown_key(target: Target) -> None:
     """A signature by a key that it has not is NOTAUTH."""
-    query = target.query(target.zone, "SOA")
+    query = target.build_query(target.zone, "SOA")
     query.use_tsig({dns.name.from_text("nobody."): b"0" * 32}, algorithm="hmac-sha256")
     rcode = target.rcode(query.to_wire())
     expect(rcode == dns.rcode.NOTAUTH, f"code {rcode}")
@@ -214,17 +214,17 @@
 def ids_of_all_kinds(target: Target) -> None:
     """Each id comes back, 0 and 65,535, too."""
     for number in (0, 1, 0x00FF, 0xFF00, 65_535):
-        query = target.query(target.zone, "SOA")
+        query = target.build_query(target.zone, "SOA")
         query.id = number
-        expect(target.read(target.udp(query.to_wire())).id == number, f"not {number}")
+        expect(target.parse_response(target.exchange_udp(query.to_wire())).id == number, f"not {number}")
 
 
 @CASES.case(5452, "9.1")
 def many_from_one_socket(target: Target) -> None:
     """Questions that follow at once are all answered, each by its id."""
-    queries = [target.query(target.zone, "SOA") for _ in range(20)]
+    queries = [target.build_query(target.zone, "SOA") for _ in range(20)]
     for number, query in enumerate(queries):
         query.id = number + 100
-    responses = target.udp_many([query.to_wire() for query in queries], 20)
+    responses = target.exchange_datagrams([query.to_wire() for query in queries], 20)
     ids = {int.from_bytes(wire[:2], "big") for wire in responses}
     expect(ids == set(range(100, 120)), f"{len(responses)} of 20")
--- a/gladewalk/dns/conform/cases_transport.py
+++ b/gladewalk/dns/conform/cases_transport.py
@@ -22,7 +22,7 @@
 
 def soa_query(target: Target, query_id: int = 0) -> dns.message.Message:
     """Returns a correct query, with a random id if none is given."""
-    query = target.query(target.zone, "SOA")
+    query = target.build_query(target.zone, "SOA")
     query.id = query_id or query.id
     return query
 
@@ -30,7 +30,7 @@
 def expect_pipelining(target: Target, count: int, tls: bool = False) -> None:
     """Requires responses to several queries in one write, in any order."""
     queries = [soa_query(target, 1_000 + number) for number in range(count)]
-    answered = {response.id for response in target.tcp(*queries, tls=tls)}
+    answered = {response.id for response in target.exchange_tcp(*queries, tls=tls)}
     expect(answered == {query.id for query in queries}, f"{len(answered)} of {count}")
 
 
@@ -58,7 +58,7 @@
     with target.connection() as connection:
         for number in (1, 2, 3):
             connection.send(soa_query(target, number).to_wire())
-            expect(target.read(connection.receive()).id == number, "another id")
+            expect(target.parse_response(connection.receive()).id == number, "another id")
 
 
 @CASES.case(7766, "8")
@@ -69,7 +69,7 @@
         connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for byte in len(wire).to_bytes(LENGTH_BYTES, "big") + wire:
             connection.sock.sendall(bytes([byte]))
-        expect(target.read(connection.receive()).id == 7, "another id")
+        expect(target.parse_response(connection.receive()).id == 7, "another id")
 
 
 @CASES.case(7766, "8")
@@ -78,14 +78,14 @@
     with target.connection() as connection:
         connection.send(soa_query(target, 8).to_wire())
         wire = connection.receive()
-        expect(target.read(wire).answer, "no answer within its length")
+        expect(target.parse_response(wire).answer, "no answer within its length")
 
 
 @CASES.case(1035, "4.2.2")
 def tcp_not_cut(target: Target) -> None:
     """By TCP nothing is cut."""
     for rdtype in ("NS", "SOA", "ANY"):
-        (response,) = target.tcp(target.query(target.zone, rdtype, use_edns=0, payload=512))
+        (response,) = target.exchange_tcp(target.build_query(target.zone, rdtype, use_edns=0, payload=512))
         expect(not response.flags & dns.flags.TC, f"{rdtype} is cut")
 
 
@@ -106,18 +106,18 @@
     with target.connection() as connection:
         connection.send(b"", soa_query(target, 11).to_wire())
         try:
-            expect(target.read(connection.receive()).id == 11, "another id")
+            expect(target.parse_response(connection.receive()).id == 11, "another id")
         except (CheckFailedError, OSError):  # it was closed
-            expect(target.tcp(soa_query(target, 12))[0].id == 12, "no new connection is served")
+            expect(target.exchange_tcp(soa_query(target, 12))[0].id == 12, "no new connection is served")
 
 
 @CASES.case(7766, "6.2.4")
 def tcp_half_closed(target: Target) -> None:
     """Who has said all and closes its side is answered yet."""
     with target.connection() as connection:
-        connection.send(target.query(target.routed, "A").to_wire())
+        connection.send(target.build_query(target.routed_name, "A").to_wire())
         connection.sock.shutdown(socket.SHUT_WR)
-        expect(target.read(connection.receive()).rcode() == dns.rcode.NOERROR, "an error")
+        expect(target.parse_response(connection.receive()).rcode() == dns.rcode.NOERROR, "an error")
 
 
 @CASES.case(7766, "6.2.4")
@@ -133,7 +133,7 @@
     """One connection that says nothing keeps none of the others."""
     with target.connection(), target.connection() as second:
         second.send(soa_query(target, 13).to_wire())
-        expect(target.read(second.receive()).id == 13, "another id")
+        expect(target.parse_response(second.receive()).id == 13, "another id")
 
 
 @CASES.case(7766, "8")
@@ -141,15 +141,15 @@
     """A connection that is reset with questions open harms nobody."""
     with target.connection() as connection:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        connection.send(*(target.query(target.routed, "A").to_wire() for _ in range(10)))
+        connection.send(*(target.build_query(target.routed_name, "A").to_wire() for _ in range(10)))
     expect_pipelining(target, 1)
 
 
 @CASES.case(1035, "4.2.1")
 def udp_and_tcp_at_one_port(target: Target) -> None:
     """Both are served at the same port."""
-    expect(target.answer(soa_query(target)).answer, "none by UDP")
-    expect(target.tcp(soa_query(target))[0].answer, "none by TCP")
+    expect(target.send_query(soa_query(target)).answer, "none by UDP")
+    expect(target.exchange_tcp(soa_query(target))[0].answer, "none by TCP")
 
 
 # TLS.
@@ -187,7 +187,7 @@
 @CASES.case(8467, "4.1")
 def tls_padded(target: Target) -> None:
     """Who pads hears padded answers, of a multiple of 468 bytes."""
-    query = target.query(target.zone, "SOA", use_edns=0, options=[generic_option(PADDING, bytes(32))])
+    query = target.build_query(target.zone, "SOA", use_edns=0, options=[generic_option(PADDING, bytes(32))])
     with target.connection(tls=True) as connection:
         connection.send(query.to_wire())
         wire = connection.receive()
@@ -197,5 +197,5 @@
 @CASES.case(7830, "4")
 def tls_not_padded_unasked(target: Target) -> None:
     """Who does not pad hears no padding."""
-    (response,) = target.tcp(target.query(target.zone, "SOA", use_edns=0), tls=True)
+    (response,) = target.exchange_tcp(target.build_query(target.zone, "SOA", use_edns=0), tls=True)
     expect(find_option(response, PADDING) is None, "padding")
--- a/gladewalk/dns/conform/target.py
+++ b/gladewalk/dns/conform/target.py
@@ -50,47 +50,47 @@
         return dns.name.from_text(text, self.zone)
 
     @property
-    def routed(self) -> dns.name.Name:
+    def routed_name(self) -> dns.name.Name:
         """A name that the server routes."""
         return self.below(f"0.{self.object_name}.{self.class_name}")
 
     @property
-    def service(self) -> dns.name.Name:
-        """The name that has the SRV records of `routed`."""
-        return dns.name.Name((b"_http", b"_tcp", *self.routed.labels))
+    def service_name(self) -> dns.name.Name:
+        """The name that has the SRV records of `routed_name`."""
+        return dns.name.Name((b"_http", b"_tcp", *self.routed_name.labels))
 
     # Queries.
 
-    def query(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
+    def build_query(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
         """Makes a query without RD; `options` are those of `dns.message.make_query`."""
         query = dns.message.make_query(name, rdtype, **options)
         query.flags &= ~dns.flags.RD
         return query
 
-    def ask(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
+    def lookup(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
         """Makes a query, and returns its response by UDP.
 
         Raises:
             CheckFailedError: There is none, or it has another id.
         """
-        return self.answer(self.query(name, rdtype, **options))
+        return self.send_query(self.build_query(name, rdtype, **options))
 
-    def answer(self, query: dns.message.Message) -> dns.message.Message:
+    def send_query(self, query: dns.message.Message) -> dns.message.Message:
         """Returns the response to a query by UDP.
 
         Raises:
             CheckFailedError: There is none, or it has another id.
         """
-        response = self.read(self.udp(query.to_wire()))
+        response = self.parse_response(self.exchange_udp(query.to_wire()))
         expect(response.id == query.id, f"the id {response.id} for {query.id}")
         return response
 
     def rcode(self, wire: bytes) -> int:
         """Returns the header's part of the code that raw bytes are answered by."""
-        return self.udp(wire)[3] & RCODE_MASK
+        return self.exchange_udp(wire)[3] & RCODE_MASK
 
     @staticmethod
-    def read(wire: bytes) -> dns.message.Message:
+    def parse_response(wire: bytes) -> dns.message.Message:
         """Parses a response.
 
         Raises:
@@ -103,18 +103,18 @@
 
     # Transports.
 
-    def udp(self, wire: bytes) -> bytes:
+    def exchange_udp(self, wire: bytes) -> bytes:
         """Returns the response to raw bytes by UDP.
 
         Raises:
             CheckFailedError: There is none.
         """
-        responses = self.udp_many([wire], 1)
+        responses = self.exchange_datagrams([wire], 1)
         if not responses:
             raise CheckFailedError("no answer")
         return responses[0]
 
-    def udp_many(self, wires: Iterable[bytes], max_responses: int) -> list[bytes]:
+    def exchange_datagrams(self, wires: Iterable[bytes], max_responses: int) -> list[bytes]:
         """Sends several datagrams from one socket, and returns the first responses to them."""
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         with socket.socket(family, socket.SOCK_DGRAM) as client:
@@ -130,8 +130,8 @@
 
     def is_unanswered(self, wire: bytes) -> bool:
         """Whether a datagram gets no response; does not wait: a good query behind it is answered first."""
-        good = self.query(self.zone, "SOA").to_wire()
-        responses = self.udp_many([wire, good], 1)
+        good = self.build_query(self.zone, "SOA").to_wire()
+        responses = self.exchange_datagrams([wire, good], 1)
         return bool(responses) and responses[0][:2] == good[:2] and responses[0][:2] != wire[:2]
 
     @contextmanager
@@ -155,7 +155,7 @@
         except OSError as error:
             raise CheckFailedError(f"the connection: {error}") from error
 
-    def tcp(self, *queries: dns.message.Message, tls: bool = False) -> list[dns.message.Message]:
+    def exchange_tcp(self, *queries: dns.message.Message, tls: bool = False) -> list[dns.message.Message]:
         """Sends all queries in one write on one connection; returns as many responses.
 
         Raises:
@@ -163,7 +163,7 @@
         """
         with self.connection(tls) as connection:
             connection.send(*(query.to_wire() for query in queries))
-            return [self.read(connection.receive()) for _ in queries]
+            return [self.parse_response(connection.receive()) for _ in queries]
 
 
 class Connection:
--- a/gladewalk/dns/limits.py
+++ b/gladewalk/dns/limits.py
@@ -134,6 +134,6 @@
         self._updated_ms = now_ms
         return max(0.0, -self._available_ms / self.fraction)
 
-    def forgive_debt(self) -> None:
+    def clear_debt(self) -> None:
         """Cancels what was overspent, since no other work wanted that time."""
         self._available_ms = max(0.0, self._available_ms)
--- a/gladewalk/dns/tcp.py
+++ b/gladewalk/dns/tcp.py
@@ -96,11 +96,11 @@
 
     def send(self, wire: bytes) -> None:
         """Sends the response."""
-        self.connection.on_answer(self, wire)
+        self.connection.on_response(self, wire)
 
     def drop(self) -> None:
         """Ends the query without a response."""
-        self.connection.on_answer(self, None)
+        self.connection.on_response(self, None)
 
 
 class StreamConnection(asyncio.Protocol):
@@ -162,7 +162,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def on_answer(self, query: StreamQuery, wire: bytes | None) -> None:
+    def on_response(self, query: StreamQuery, wire: bytes | None) -> None:
         """Writes a response, or queues its query again if the client does not read; None: no response."""
         if query.is_answered:
             return
--- a/gladewalk/dns/udp.py
+++ b/gladewalk/dns/udp.py
@@ -100,7 +100,7 @@
         if pause_ms <= 0.0:
             return
         if ended_s > self._http_busy_until_s:
-            self.budget.forgive_debt()
+            self.budget.clear_debt()
         elif not self._is_closed:
             self._counters.add("dns.rests")
             self._loop.remove_reader(self._socket)
--- a/tests/test_golden_dns.py
+++ b/tests/test_golden_dns.py
@@ -249,7 +249,9 @@
         for case in select_cases():
             sent: list[bytes] = []
 
-            def udp_many(_: Any, wires: Iterable[bytes], most: int, sent: list[bytes] = sent) -> list[bytes]:
+            def exchange_datagrams(
+                _: Any, wires: Iterable[bytes], most: int, sent: list[bytes] = sent
+            ) -> list[bytes]:
                 sent += (wires := list(wires))
                 answers = Recorder("127.0.0.1", TransportKind.UDP)
                 for wire in wires:
@@ -260,7 +262,7 @@
                 raise CheckSkippedError("no streams")
 
             with (
-                mock.patch.object(Target, "udp_many", udp_many),
+                mock.patch.object(Target, "exchange_datagrams", exchange_datagrams),
                 mock.patch.object(Target, "connection", connection),
             ):
                 results = [result for result in run_cases(target, [case.name]) if result.case is case]
