--- a/gladewalk/dns/conform/cases_edns.py
+++ b/gladewalk/dns/conform/cases_edns.py
@@ -31,7 +31,7 @@
 def raw_query(
     target: Target, options: bytes = b"", opt_count: int = 1, ttl: int = 0, payload: int = 1232
 ) -> bytes:
-    """Returns a query with raw OPT records, for what the library does not write."""
+    """Returns a query with raw OPT records, which may be malformed in ways that the library cannot write."""
     plain = bytearray(target.build_query(target.zone, "SOA").to_wire())
     plain[10:12] = opt_count.to_bytes(2, "big")
     opt = b"\0" + struct.pack(">HHIH", OPT_TYPE, payload, ttl, len(options)) + options
@@ -39,11 +39,11 @@
 
 
 def lookup_with_options(target: Target, *options: dns.edns.Option, **more: Any) -> dns.message.Message:
-    """Returns the response to a query with options."""
+    """Sends a query with options, and returns the response."""
     return target.lookup(target.zone, "SOA", use_edns=0, options=list(options), **more)
 
 
-def generic_option(code: int, data: bytes = b"") -> dns.edns.Option:
+def make_option(code: int, data: bytes = b"") -> dns.edns.Option:
     """Returns an option with raw data."""
     return dns.edns.GenericOption(dns.edns.OptionType.make(code), data)
 
@@ -59,7 +59,7 @@
     expect(rcode == dns.rcode.FORMERR, f"{dns.rcode.to_text(dns.rcode.Rcode(rcode))}, not FORMERR")
 
 
-# The record itself.
+# The OPT record.
 
 
 @CASES.case(6891, "7")
@@ -69,7 +69,7 @@
 
 
 def check_has_opt(kind: str, target: Target) -> None:
-    """Requires an OPT of version 0 in a response of a kind."""
+    """Requires an OPT of version 0 in one kind of response."""
     queries = {
         "soa": (target.zone, "SOA"),
         "nxdomain": (target.below("no-such-name"), "A"),
@@ -185,8 +185,8 @@
 
 
 def check_unknown_option(code: int, target: Target) -> None:
-    """Requires a response without an option that the server cannot know."""
-    response = lookup_with_options(target, generic_option(code, b"abc"))
+    """Requires a response without an unknown option that was sent."""
+    response = lookup_with_options(target, make_option(code, b"abc"))
     expect(find_option(response, code) is None, "sent back")
 
 
@@ -203,7 +203,7 @@
 @CASES.case(6891, "6.1.2")
 def options_many(target: Target) -> None:
     """Many unknown options are ignored, too."""
-    response = lookup_with_options(target, *(generic_option(65_100 + n, bytes(n)) for n in range(30)))
+    response = lookup_with_options(target, *(make_option(65_100 + n, bytes(n)) for n in range(30)))
     expect(response.rcode() == dns.rcode.NOERROR and response.answer, response.rcode().name)
 
 
@@ -219,7 +219,7 @@
 @CASES.case(5001, "2.2")
 def nsid_asked(target: Target) -> None:
     """Who asks for it hears it, where there is one."""
-    found = find_option(lookup_with_options(target, generic_option(NSID)), NSID)
+    found = find_option(lookup_with_options(target, make_option(NSID)), NSID)
     if found is None:
         raise CheckSkippedError("no NSID is set")
     expect(len(found.to_wire() or b"") > 0, "an empty one")
@@ -228,15 +228,13 @@
 @CASES.case(7828, "3.2.1")
 def keepalive_by_udp(target: Target) -> None:
     """Keep-alive means nothing by UDP, and is not sent back."""
-    expect(
-        find_option(lookup_with_options(target, generic_option(KEEPALIVE)), KEEPALIVE) is None, "sent back"
-    )
+    expect(find_option(lookup_with_options(target, make_option(KEEPALIVE)), KEEPALIVE) is None, "sent back")
 
 
 @CASES.case(7828, "3.3.2")
 def keepalive_by_tcp(target: Target) -> None:
     """By TCP it tells for how long a connection may idle."""
-    query = target.build_query(target.zone, "SOA", use_edns=0, options=[generic_option(KEEPALIVE)])
+    query = target.build_query(target.zone, "SOA", use_edns=0, options=[make_option(KEEPALIVE)])
     found = find_option(target.exchange_tcp(query)[0], KEEPALIVE)
     expect(found is not None and len(found.to_wire() or b"") == 2, f"{found}")
 
@@ -245,7 +243,7 @@
 def padding_by_udp(target: Target) -> None:
     """Padding by UDP is not answered in kind: it would only amplify."""
     expect(
-        find_option(lookup_with_options(target, generic_option(PADDING, bytes(20))), PADDING) is None,
+        find_option(lookup_with_options(target, make_option(PADDING, bytes(20))), PADDING) is None,
         "padded",
     )
 
@@ -315,19 +313,19 @@
 
 
 def request_cookie(target: Target, client_cookie: bytes) -> bytes:
-    """Returns the cookie that a client cookie is answered by.
+    """Sends a client cookie, and returns the cookie of the response.
 
     Raises:
-        CheckSkippedError: There is none.
+        CheckSkippedError: The response has no cookie.
     """
-    received = find_cookie(lookup_with_options(target, generic_option(COOKIE, client_cookie)))
+    received = find_cookie(lookup_with_options(target, make_option(COOKIE, client_cookie)))
     if received is None:
         raise CheckSkippedError("cookies are off")
     return received
 
 
 def check_cookie_length(size_bytes: int, target: Target) -> None:
-    """Requires FORMERR for a cookie of a size that none has."""
+    """Requires FORMERR for a cookie of an invalid size."""
     expect_formerr(target, raw_query(target, raw_option(COOKIE, bytes(range(size_bytes)))))
 
 
@@ -374,7 +372,7 @@
 def cookie_shown(target: Target) -> None:
     """Its own cookie is taken, and answered with one."""
     received = request_cookie(target, CLIENT_COOKIE)
-    response = lookup_with_options(target, generic_option(COOKIE, received))
+    response = lookup_with_options(target, make_option(COOKIE, received))
     expect(response.rcode() == dns.rcode.NOERROR and response.answer, response.rcode().name)
     expect((find_cookie(response) or b"")[:8] == CLIENT_COOKIE, "no cookie back")
 
@@ -384,7 +382,7 @@
     """A forged server's part is answered with a good one, as an answer or as BADCOOKIE."""
     received = request_cookie(target, CLIENT_COOKIE)
     forged = received[:-1] + bytes([received[-1] ^ 1])
-    response = lookup_with_options(target, generic_option(COOKIE, forged))
+    response = lookup_with_options(target, make_option(COOKIE, forged))
     expect(response.rcode() in (dns.rcode.NOERROR, dns.rcode.BADCOOKIE), response.rcode().name)
     expect(find_cookie(response) not in (None, forged), "no fresh cookie")
 
@@ -394,7 +392,7 @@
     """A question without a question asks for a cookie alone."""
     request_cookie(target, CLIENT_COOKIE)
     query = dns.message.Message()
-    query.use_edns(0, options=[generic_option(COOKIE, CLIENT_COOKIE)])
+    query.use_edns(0, options=[make_option(COOKIE, CLIENT_COOKIE)])
     query.flags = dns.flags.Flag(0)
     response = target.parse_response(target.exchange_udp(query.to_wire()))
     expect(response.rcode() == dns.rcode.NOERROR and not response.question, response.rcode().name)
--- a/gladewalk/dns/conform/cases_header.py
+++ b/gladewalk/dns/conform/cases_header.py
@@ -1,4 +1,4 @@
-"""What holds for every response: its header, its question, its size."""
+"""Checks that apply to every response: header, question, size, and equality by UDP and TCP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class QueryKind(Enum):
-    """The queries that each check is made with, by what they come to."""
+    """The queries that each check is run with, named by their expected response."""
 
     ROUTED = "routed"
     APEX = "apex"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExpectedResponse:
-    """A query, and what its response's header must have."""
+    """A query, and the header values that its response must have."""
 
     name: dns.name.Name
     rdtype: str
@@ -83,14 +83,14 @@
 
 
 def check_code(kind: QueryKind, target: Target) -> None:
-    """Requires the right code."""
+    """Requires the expected response code."""
     _, response = query_and_response(kind, target)
     rcode = expected_response(kind, target).rcode
     expect(response.rcode() == rcode, f"{response.rcode().name}, not {rcode.name}")
 
 
 def check_bits(kind: QueryKind, target: Target) -> None:
-    """Requires QR and the query's opcode, without TC and Z."""
+    """Requires QR and the query's opcode, and neither TC nor Z."""
     query, response = query_and_response(kind, target)
     expect(response.flags & dns.flags.QR, "QR is not set")
     expect(response.opcode() == query.opcode(), f"the opcode {response.opcode().name}")
@@ -107,7 +107,7 @@
 
 
 def check_recursion(kind: QueryKind, target: Target) -> None:
-    """Requires RD as in the query, without RA."""
+    """Requires RD as in the query, and no RA."""
     for is_desired in (False, True):
         _, response = query_and_response(kind, target, is_desired)
         is_set = bool(response.flags & dns.flags.RD)
@@ -124,7 +124,7 @@
 
 
 def check_question(kind: QueryKind, target: Target) -> None:
-    """Requires the question as it was sent, in its case."""
+    """Requires the question as it was sent, in the same case."""
     expected = expected_response(kind, target)
     query = target.build_query(mixed_case(expected.name), expected.rdtype)
     response = target.send_query(query)
@@ -154,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeaderCheck:
-    """A check that is made with a query of each kind."""
+    """A check that is run with a query of each kind."""
 
     name: str
     rfc: int
--- a/gladewalk/dns/conform/cases_messages.py
+++ b/gladewalk/dns/conform/cases_messages.py
@@ -19,11 +19,11 @@
 
 QR_BIT, OPCODE_SHIFT, OPCODE_MASK = 0x80, 3, 0x0F  # of the header's third byte
 MAX_NAME_BYTES, MAX_LABEL_BYTES = 255, 63
-UNUSED_ID = b"\xaa\x55"  # told apart from the id of the query that follows
+UNUSED_ID = b"\xaa\x55"  # differs from the id of the valid query that is sent next
 
 
 def expect_formerr(target: Target, wire: bytes) -> None:
-    """Requires FORMERR for raw bytes, in a response that does not amplify them."""
+    """Requires FORMERR for raw bytes, in a response of at most twice their size or 64 bytes."""
     response = target.exchange_udp(wire)
     rcode = response[3] & RCODE_MASK
     expect(response[:2] == wire[:2], "another id")
@@ -33,19 +33,19 @@
 
 
 def soa_query(target: Target) -> bytearray:
-    """Returns the bytes of a correct query."""
+    """Returns the bytes of a valid query."""
     return bytearray(target.build_query(target.zone, "SOA").to_wire())
 
 
 def with_counts(target: Target, questions: int, records: tuple[int, int, int] = (0, 0, 0)) -> bytes:
-    """Returns a query whose header announces other counts than it has records."""
+    """Returns a query whose header has other counts than its sections."""
     wire = soa_query(target)
     wire[4:HEADER_BYTES] = struct.pack(">HHHH", questions, *records)
     return bytes(wire)
 
 
 def with_name(target: Target, name: bytes) -> bytes:
-    """Returns a query whose name is raw bytes."""
+    """Returns a query for class IN and type A whose name is raw bytes."""
     return bytes(soa_query(target)[:HEADER_BYTES]) + name + b"\0\1\0\1"
 
 
@@ -84,7 +84,7 @@
 
 
 def check_question_count(questions: int, target: Target) -> None:
-    """Requires FORMERR for a count other than 1 with one question."""
+    """Requires FORMERR for one question and a count other than 1."""
     expect_formerr(target, with_counts(target, questions))
 
 
@@ -111,7 +111,7 @@
 
 
 def check_record_count(records: tuple[int, int, int], target: Target) -> None:
-    """Requires FORMERR for a record that is announced and missing."""
+    """Requires FORMERR for a record that is counted in the header and missing."""
     expect_formerr(target, with_counts(target, 1, records))
 
 
@@ -168,17 +168,17 @@
 
 
 def name_bytes(labels: Iterable[bytes]) -> int:
-    """Returns the size of labels in a message, each after its length."""
+    """Returns the size of labels in a message, where each has a length byte."""
     return sum(len(label) + 1 for label in labels)
 
 
 @CASES.case(1035, "2.3.4")
 def longest_name(target: Target) -> None:
     """A name of 255 bytes is legal."""
-    room_bytes = MAX_NAME_BYTES - name_bytes(target.zone.labels)
-    labels = [b"a" * min(MAX_LABEL_BYTES, room_bytes - 1)]
-    while (left_bytes := room_bytes - name_bytes(labels)) >= 2:
-        labels.append(b"b" * min(MAX_LABEL_BYTES, left_bytes - 1))
+    max_labels_bytes = MAX_NAME_BYTES - name_bytes(target.zone.labels)
+    labels = [b"a" * min(MAX_LABEL_BYTES, max_labels_bytes - 1)]
+    while (remaining_bytes := max_labels_bytes - name_bytes(labels)) >= 2:
+        labels.append(b"b" * min(MAX_LABEL_BYTES, remaining_bytes - 1))
     response = target.lookup(dns.name.Name((*labels, *target.zone.labels)))
     expect(response.rcode() == dns.rcode.NXDOMAIN, response.rcode().name)
 
--- a/gladewalk/dns/conform/cases_transport.py
+++ b/gladewalk/dns/conform/cases_transport.py
@@ -10,7 +10,7 @@
 import dns.message
 import dns.rcode
 
-from .cases_edns import PADDING, find_option, generic_option
+from .cases_edns import PADDING, find_option, make_option
 from .checks import CheckFailedError, expect
 from .registry import CaseRegistry
 from .target import LENGTH_BYTES, RCODE_MASK, Target
@@ -21,7 +21,7 @@
 
 
 def soa_query(target: Target, query_id: int = 0) -> dns.message.Message:
-    """Returns a correct query, with a random id if none is given."""
+    """Returns a valid query, with a random id if none is given."""
     query = target.build_query(target.zone, "SOA")
     query.id = query_id or query.id
     return query
@@ -107,7 +107,7 @@
         connection.send(b"", soa_query(target, 11).to_wire())
         try:
             expect(target.parse_response(connection.receive()).id == 11, "another id")
-        except (CheckFailedError, OSError):  # it was closed
+        except (CheckFailedError, OSError):  # the server closed the connection
             expect(target.exchange_tcp(soa_query(target, 12))[0].id == 12, "no new connection is served")
 
 
@@ -187,7 +187,7 @@
 @CASES.case(8467, "4.1")
 def tls_padded(target: Target) -> None:
     """Who pads hears padded answers, of a multiple of 468 bytes."""
-    query = target.build_query(target.zone, "SOA", use_edns=0, options=[generic_option(PADDING, bytes(32))])
+    query = target.build_query(target.zone, "SOA", use_edns=0, options=[make_option(PADDING, bytes(32))])
     with target.connection(tls=True) as connection:
         connection.send(query.to_wire())
         wire = connection.receive()
--- a/gladewalk/dns/conform/cases_types.py
+++ b/gladewalk/dns/conform/cases_types.py
@@ -1,4 +1,4 @@
-"""Types: those that routed names lack, ANY, transfers, addresses and services."""
+"""Record types: absent ones, ANY, transfers, addresses and services."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def check_absent_type(rdtype: str, target: Target) -> None:
-    """Requires NODATA for a type that routed names lack."""
+    """Requires NODATA for a type that routed names do not have."""
     expect_negative(target.lookup(target.routed_name, rdtype), dns.rcode.NOERROR)
 
 
@@ -80,10 +80,10 @@
 
 
 def lookup_address(target: Target) -> tuple[str, dns.message.Message]:
-    """Returns the address type that the routed name has, and its response.
+    """Returns the address type that the routed name has, and the response to a query for it.
 
     Raises:
-        CheckFailedError: It has none.
+        CheckFailedError: The name has no address.
     """
     for rdtype in ("A", "AAAA"):
         response = target.lookup(target.routed_name, rdtype)
@@ -138,7 +138,7 @@
     """Returns the response with the SRV records of the routed name.
 
     Raises:
-        CheckFailedError: There are none.
+        CheckFailedError: The response has no SRV records.
     """
     response = target.lookup(target.service_name, "SRV")
     expect(
--- a/gladewalk/dns/conform/cases_zone.py
+++ b/gladewalk/dns/conform/cases_zone.py
@@ -1,4 +1,4 @@
-"""The zone: its apex, empty names, negative responses, and what lies outside it."""
+"""The zone: its apex, empty names, negative responses, and names outside of it."""
 
 from __future__ import annotations
 
@@ -88,12 +88,12 @@
 
 
 def expect_nodata(target: Target, text: str) -> None:
-    """Requires NODATA for the address of a name relative to the zone."""
+    """Requires NODATA for type A of a name relative to the zone."""
     expect_negative(target.lookup(target.below(text)), dns.rcode.NOERROR)
 
 
 def expect_nxdomain(target: Target, text: str) -> None:
-    """Requires NXDOMAIN for the address of a name relative to the zone."""
+    """Requires NXDOMAIN for type A of a name relative to the zone."""
     expect_negative(target.lookup(target.below(text)), dns.rcode.NXDOMAIN)
 
 
--- a/gladewalk/dns/conform/checks.py
+++ b/gladewalk/dns/conform/checks.py
@@ -1,4 +1,4 @@
-"""What checks are made of: their two ways to end early, and expectations on responses."""
+"""Helpers of checks: the two exceptions that end a check early, and expectations on responses."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class CheckFailedError(GladewalkError):
-    """The server does not do what the RFC asks; the message says what was seen instead."""
+    """The server does not do what the RFC requires; the message describes what was observed."""
 
 
 class CheckSkippedError(GladewalkError):
-    """The server does not offer what the case is about, and need not."""
+    """The server does not offer the optional feature that the case tests."""
 
 
 def expect(condition: object, observation: str) -> None:
@@ -36,10 +36,10 @@
 
 
 def expect_negative(response: dns.message.Message, rcode: dns.rcode.Rcode) -> None:
-    """Requires a code without an answer, and an SOA with its TTL bounded (RFC 2308, section 3).
+    """Requires a response code, no answer, and an SOA whose TTL is bounded (RFC 2308, section 3).
 
     Raises:
-        CheckFailedError: The response is another.
+        CheckFailedError: The response differs.
     """
     expect(response.rcode() == rcode, f"{response.rcode().name}, not {rcode.name}")
     expect(not response.answer, f"records: {section_types(response.answer)}")
--- a/gladewalk/dns/conform/registry.py
+++ b/gladewalk/dns/conform/registry.py
@@ -17,9 +17,9 @@
     Attributes:
         name: Unique and permanent: scripts and reports refer to it.
         rfc: Number of the RFC.
-        section: Of the RFC; empty: the whole of it.
+        section: Section of the RFC; empty: the whole RFC.
         description: What a server must do.
-        check: Raises `CheckFailedError` or `CheckSkippedError`, or returns if the server passes.
+        check: Returns if the server passes; otherwise raises `CheckFailedError` or `CheckSkippedError`.
     """
 
     name: str
@@ -43,7 +43,7 @@
         self._cases.append(Case(name, rfc, section, description, check))
 
     def case(self, rfc: int, section: str) -> Callable[[Check], Check]:
-        """Adds the decorated check, named as the function and described by its docstring's first line."""
+        """Adds the decorated check as a case named after it and described by its docstring's first line."""
 
         def register(check: Check) -> Check:
             description = (check.__doc__ or "").strip().split("\n")[0]
--- a/gladewalk/dns/conform/report.py
+++ b/gladewalk/dns/conform/report.py
@@ -1,4 +1,4 @@
-"""The command line's side of the suite: the server to test, and the lines that report results."""
+"""Builds the server under test from the command's arguments, and formats the results of a run."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     """Makes the server under test from the command's arguments; `tls` may be empty.
 
     Raises:
-        ConfigError: An address is none.
-        ValueError: The zone is no name.
+        ConfigError: An address is invalid.
+        ValueError: The zone is not a valid name.
     """
     try:
         origin = dns.name.from_text(zone)
@@ -31,7 +31,7 @@
 
 
 def format_results(results: Iterable[Result], as_json: bool) -> Iterator[str]:
-    """Yields a line for each case that did not pass and one of counts; as JSON a line for each case."""
+    """Yields a line for each case that did not pass and a line of counts; as JSON, a line for each case."""
     counts: Counter[Verdict] = Counter()
     for result in results:
         counts[result.verdict] += 1
--- a/gladewalk/dns/conform/suite.py
+++ b/gladewalk/dns/conform/suite.py
@@ -30,7 +30,7 @@
     Attributes:
         case: The case.
         verdict: How it ended.
-        observation: What was seen instead, or why it was skipped; empty if it passed.
+        observation: The unexpected behaviour, or the reason for skipping; empty if the case passed.
         duration_ms: How long it took.
     """
 
@@ -59,7 +59,7 @@
 
 
 def select_cases(prefixes: Iterable[str] = ()) -> list[Case]:
-    """Returns the cases whose names start with one of some prefixes; all without any."""
+    """Returns the cases whose names start with one of the prefixes; all cases if there are none."""
     wanted = tuple(prefixes)
     return [case for case in ALL_CASES.values() if not wanted or case.name.startswith(wanted)]
 
@@ -79,6 +79,6 @@
         verdict, observation = Verdict.FAILED, str(error)
     except CheckSkippedError as error:
         verdict, observation = Verdict.SKIPPED, str(error)
-    except Exception as error:  # noqa: BLE001 - the outermost edge of a case: an unforeseen response fails it
+    except Exception as error:  # noqa: BLE001 - whatever an unexpected response raises fails the case
         verdict, observation = Verdict.FAILED, f"{type(error).__name__}: {error}"
     return Result(case, verdict, observation, (time.monotonic() - started_s) * 1_000.0)
--- a/gladewalk/dns/conform/target.py
+++ b/gladewalk/dns/conform/target.py
@@ -1,4 +1,4 @@
-"""The server under test, and the ways to query it: by UDP, TCP and TLS, with whole messages or raw bytes."""
+"""The server under test, and how to query it: by UDP, TCP and TLS, with messages or raw bytes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .checks import CheckFailedError, CheckSkippedError, expect
 
 MAX_MESSAGE_BYTES = 65_535
-MAX_PLAIN_UDP_BYTES = 512  # without EDNS (RFC 1035, section 4.2.1)
+MAX_PLAIN_UDP_BYTES = 512  # largest response without EDNS (RFC 1035, section 4.2.1)
 HEADER_BYTES = 12
 LENGTH_BYTES = 2  # before each message on a stream
 RCODE_MASK = 0x0F  # of the header's fourth byte
@@ -30,12 +30,12 @@
     """A server under test.
 
     Attributes:
-        address: For UDP and TCP.
+        address: Its address for UDP and TCP.
         zone: A zone that it serves.
-        class_name: A class among the zone's names.
-        object_name: With the class the name of an object that the server routes, in hexadecimal.
-        tls_address: For DNS over TLS; None: its cases are skipped.
-        timeout_s: For which a response is awaited.
+        class_name: A request class that the zone has names of.
+        object_name: Key of an object of that class, in hexadecimal.
+        tls_address: Its address for DNS over TLS; None: the cases for TLS are skipped.
+        timeout_s: How long to wait for a response.
     """
 
     address: Address
@@ -62,31 +62,31 @@
     # Queries.
 
     def build_query(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
-        """Makes a query without RD; `options` are those of `dns.message.make_query`."""
+        """Builds a query without RD; `options` are those of `dns.message.make_query`."""
         query = dns.message.make_query(name, rdtype, **options)
         query.flags &= ~dns.flags.RD
         return query
 
     def lookup(self, name: dns.name.Name, rdtype: str = "A", **options: Any) -> dns.message.Message:
-        """Makes a query, and returns its response by UDP.
+        """Builds a query, sends it by UDP, and returns the response.
 
         Raises:
-            CheckFailedError: There is none, or it has another id.
+            CheckFailedError: There is no response, or it is malformed or has another id.
         """
         return self.send_query(self.build_query(name, rdtype, **options))
 
     def send_query(self, query: dns.message.Message) -> dns.message.Message:
-        """Returns the response to a query by UDP.
+        """Sends a query by UDP, and returns the response.
 
         Raises:
-            CheckFailedError: There is none, or it has another id.
+            CheckFailedError: There is no response, or it is malformed or has another id.
         """
         response = self.parse_response(self.exchange_udp(query.to_wire()))
         expect(response.id == query.id, f"the id {response.id} for {query.id}")
         return response
 
     def rcode(self, wire: bytes) -> int:
-        """Returns the header's part of the code that raw bytes are answered by."""
+        """Sends raw bytes by UDP, and returns the lower 4 bits of the response code: those in the header."""
         return self.exchange_udp(wire)[3] & RCODE_MASK
 
     @staticmethod
@@ -104,10 +104,10 @@
     # Transports.
 
     def exchange_udp(self, wire: bytes) -> bytes:
-        """Returns the response to raw bytes by UDP.
+        """Sends raw bytes by UDP, and returns the bytes of the response.
 
         Raises:
-            CheckFailedError: There is none.
+            CheckFailedError: There is no response.
         """
         responses = self.exchange_datagrams([wire], 1)
         if not responses:
@@ -115,7 +115,7 @@
         return responses[0]
 
     def exchange_datagrams(self, wires: Iterable[bytes], max_responses: int) -> list[bytes]:
-        """Sends several datagrams from one socket, and returns the first responses to them."""
+        """Sends datagrams from one socket, and returns the first `max_responses` responses, or fewer."""
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         with socket.socket(family, socket.SOCK_DGRAM) as client:
             client.settimeout(self.timeout_s)
@@ -129,17 +129,17 @@
             return responses
 
     def is_unanswered(self, wire: bytes) -> bool:
-        """Whether a datagram gets no response; does not wait: a good query behind it is answered first."""
-        good = self.build_query(self.zone, "SOA").to_wire()
-        responses = self.exchange_datagrams([wire, good], 1)
-        return bool(responses) and responses[0][:2] == good[:2] and responses[0][:2] != wire[:2]
+        """Whether a datagram gets no response: the response to a valid query sent after it arrives first."""
+        valid = self.build_query(self.zone, "SOA").to_wire()
+        responses = self.exchange_datagrams([wire, valid], 1)
+        return bool(responses) and responses[0][:2] == valid[:2] and responses[0][:2] != wire[:2]
 
     @contextmanager
     def connection(self, tls: bool = False) -> Iterator[Connection]:
         """Opens a connection by TCP or TLS.
 
         Raises:
-            CheckSkippedError: There is no address for TLS.
+            CheckSkippedError: TLS is requested, and there is no address for it.
             CheckFailedError: The connection fails.
         """
         address = self.tls_address if tls else self.address
@@ -156,10 +156,10 @@
             raise CheckFailedError(f"the connection: {error}") from error
 
     def exchange_tcp(self, *queries: dns.message.Message, tls: bool = False) -> list[dns.message.Message]:
-        """Sends all queries in one write on one connection; returns as many responses.
+        """Sends queries in one write on one connection, and returns as many responses.
 
         Raises:
-            CheckFailedError: One is missing.
+            CheckFailedError: A response is missing or malformed.
         """
         with self.connection(tls) as connection:
             connection.send(*(query.to_wire() for query in queries))
@@ -180,7 +180,7 @@
         """Returns the next message.
 
         Raises:
-            CheckFailedError: There is none.
+            CheckFailedError: The connection is closed or times out before it.
         """
         return self._receive_exactly(int.from_bytes(self._receive_exactly(LENGTH_BYTES), "big"))
 
@@ -198,7 +198,7 @@
 
 
 def _unverified_tls_context() -> ssl.SSLContext:
-    """Makes a context that takes any certificate: what is tested is the protocol."""
+    """Makes a context that accepts any certificate, since only the protocol is tested."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     context.set_alpn_protocols(["dot"])
--- a/gladewalk/dns/cookies.py
+++ b/gladewalk/dns/cookies.py
@@ -1,8 +1,9 @@
 """DNS cookies (RFC 7873) with the interoperable server cookie of RFC 9018: proof of a client's address.
 
-    version 1 (1)  reserved (3)  Unix time in s (4)  SipHash-2-4 over client cookie, these and its address (8)
+    version 1 (1)  reserved (3)  Unix time in s (4)  SipHash-2-4 (8)
 
-The first key generates, all keys verify, so that keys can be rotated. No I/O.
+SipHash is computed over the client cookie, the fields before the hash, and the client's address. The first
+key generates cookies, and all keys verify them, so that keys can be rotated. No I/O.
 """
 
 from __future__ import annotations
@@ -15,18 +16,20 @@
 
 VERSION = b"\x01\x00\x00\x00"
 MAX_AGE_SECONDS, MAX_CLOCK_SKEW_SECONDS = 3_600, 300  # RFC 9018, section 4.3
-RENEW_AFTER_SECONDS = 1_800  # from which age on a client is sent a new cookie
+RENEW_AFTER_SECONDS = 1_800  # age from which a client is sent a new cookie
 KEY_BYTES = 16
 SERVER_COOKIE_BYTES = 16
 TIMESTAMP_MODULUS = 2**32
 
 
 class CookieStatus(Enum):
-    """What a query's COOKIE option shows."""
+    """The state of a query's COOKIE option."""
 
     ABSENT = "none"
     CLIENT_ONLY = "client"
-    INVALID = "bad"  # a server cookie that was never generated here, or too long ago
+    INVALID = (
+        "bad"  # the server cookie is malformed, outdated, or not generated with these keys for this client
+    )
     VALID = "good"
 
 
@@ -34,7 +37,7 @@
     """Generates and verifies server cookies with a ring of keys.
 
     Raises:
-        ValueError: There is no key, or one of a wrong length.
+        ValueError: There is no key, or a key has the wrong length.
     """
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
@@ -86,6 +89,6 @@
 
 
 def _age_seconds(server_cookie: bytes, now_seconds: float) -> int:
-    """Returns the age by serial number arithmetic (RFC 1982); negative if the cookie's clock is ahead."""
+    """Returns the age by serial number arithmetic (RFC 1982); negative for a timestamp in the future."""
     elapsed = (int(now_seconds) - int.from_bytes(server_cookie[4:8], "big")) % TIMESTAMP_MODULUS
     return elapsed - TIMESTAMP_MODULUS if elapsed >= TIMESTAMP_MODULUS // 2 else elapsed
--- a/gladewalk/dns/edns.py
+++ b/gladewalk/dns/edns.py
@@ -1,9 +1,9 @@
-"""EDNS (RFC 6891): what a query's options ask for, and the options of its response. No I/O.
+"""EDNS (RFC 6891): reads a query's options, and builds those of its response. No I/O.
 
     cookie 10 (RFC 7873)   NSID 3 (RFC 5001)   client subnet 8 (RFC 7871)   keep-alive 11 (RFC 7828)
     padding 12 (RFC 7830)  extended error 15 (RFC 8914)
 
-Other options are ignored, as RFC 6891, section 6.1.2 asks.
+Other options are ignored, as RFC 6891, section 6.1.2 requires.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 @dataclass(slots=True, frozen=True)
 class EdnsRequest:
-    """What a query asks for by EDNS; all false or empty without EDNS.
+    """The requests in a query's EDNS options; all false or empty without EDNS.
 
     Attributes:
-        has_do: The DO bit (RFC 3225).
-        wants_nsid: The name server identifier.
-        client_subnet: The network of the resolver's client.
+        has_do: The DO bit is set (RFC 3225).
+        wants_nsid: Requests the name server identifier.
+        client_subnet: Network of the resolver's client.
         client_cookie: The client's half of a cookie.
-        server_cookie: The server's half.
-        wants_keepalive: How long an idle connection stays open.
-        wants_padding: A padded response.
+        server_cookie: The server's half of the cookie.
+        wants_keepalive: Requests the idle timeout of connections.
+        wants_padding: Requests a padded response.
     """
 
     has_do: bool = False
@@ -57,15 +57,14 @@
     """Reads the options of a query.
 
     Raises:
-        MalformedOptionError: An option must be answered by FORMERR.
+        MalformedOptionError: An option is malformed, so that the response must be FORMERR.
     """
     if query.edns < 0:
         return EdnsRequest()
     first: dict[int, dns.edns.Option] = {}
     for option in query.options:
-        first.setdefault(
-            int(option.otype), option
-        )  # RFC 7873, section 5.2: of several cookies the first counts
+        # RFC 7873, section 5.2: only the first of several cookies is used.
+        first.setdefault(int(option.otype), option)
     client_cookie, server_cookie = _read_cookie(first.get(dns.edns.OptionType.COOKIE))
     return EdnsRequest(
         has_do=bool(query.ednsflags & dns.flags.DO),
@@ -105,11 +104,11 @@
 
 
 def subnet_response(subnet: dns.edns.ECSOption) -> dns.edns.ECSOption:
-    """Returns the response's subnet (RFC 7871, section 7.2.1), of scope 0: no answer depends on it."""
+    """Returns the response's subnet (RFC 7871, section 7.2.1) with scope 0: no answer depends on it."""
     return dns.edns.ECSOption(subnet.address, subnet.srclen, 0)
 
 
 def keepalive_response(idle_timeout_ms: float) -> dns.edns.Option:
-    """Returns the option that tells how long a connection may idle (RFC 7828, section 3.1)."""
+    """Returns the option that announces the idle timeout of connections (RFC 7828, section 3.1)."""
     units = min(MAX_KEEPALIVE_UNITS, int(idle_timeout_ms / KEEPALIVE_UNIT_MS))
     return dns.edns.GenericOption(TCP_KEEPALIVE, units.to_bytes(2, "big"))
--- a/gladewalk/dns/front.py
+++ b/gladewalk/dns/front.py
@@ -20,7 +20,7 @@
 from .zone import Zone, ZoneApex
 
 SERIAL_MODULUS = 2**32
-DEFAULT_NAMESERVER = "ns"  # below each zone, at the front's own address
+DEFAULT_NAMESERVER = "ns"  # in each zone, at `own_address`
 
 
 def _plain_http(server: str) -> tuple[bool, tuple[str, ...]]:
@@ -34,8 +34,8 @@
         exchange: Passes resolve requests to the dispatcher.
         config: The settings.
         counters: Where queries, responses and connections are counted.
-        own_port: Where the director itself serves, if it is known yet.
-        alpn_of: Tells of a server whether TLS is used, and which protocols.
+        own_port: Port of the director's HTTP front; 0 if it is not known yet.
+        alpn_of: Returns whether a server uses TLS, and its ALPN identifiers.
     """
 
     def __init__(
@@ -67,9 +67,9 @@
         return self._config
 
     def apply_config(self, config: DnsConfig) -> None:
-        """Takes over settings but for the addresses to listen at.
+        """Applies settings, except for the listen addresses.
 
-        Resolvers' weights and rate buckets are kept if the settings they were measured under are the same.
+        Resolvers' weights and rate buckets are kept if the settings that they depend on are unchanged.
         """
         self._config = config
         self.processor.apply(config, self._make_zones())
@@ -79,9 +79,9 @@
             self._udp.budget.fraction = config.rates.max_loop_fraction
 
     def reload(self, config: DnsConfig) -> None:
-        """Takes over settings that were read anew on SIGHUP, without moving the listeners.
+        """Applies settings that were reloaded on SIGHUP, except for the listen addresses.
 
-        A new certificate goes into the context in use, for new connections.
+        A new certificate is loaded into the TLS context in use, for new connections.
         """
         old = self._config
         if old.tls is not None and config.tls is not None and config.tls.files is not None:
@@ -91,8 +91,8 @@
         self.apply_config(replace(config, listen=old.listen, tls=old.tls))
 
     def set_classes(self, classes: frozenset[str]) -> None:
-        """Takes over the names of the request classes."""
-        if classes != self._classes:  # the zones made by a reload stay otherwise
+        """Applies the names of the request classes."""
+        if classes != self._classes:  # otherwise the zones that a reload just made are kept
             self._classes = classes
             self.processor.zones = self._make_zones()
 
@@ -105,7 +105,7 @@
 
     def _make_zones(self) -> list[Zone]:
         config = self._config
-        # A wall clock that was set back must not take the serial back, or secondaries keep the former zone.
+        # The serial must not decrease if the wall clock is set back, or secondaries would keep the old zone.
         self._serial = serial = max(self._serial, int(read_wall_clock().unix_ms / 1_000.0)) % SERIAL_MODULUS
         rules = NamingRules(self._classes, config.open_classes, self._is_known_address)
         nameservers = config.nameservers or {DEFAULT_NAMESERVER: (config.own_address,)}
@@ -120,7 +120,7 @@
         ]
 
     def _is_known_address(self, address: str) -> bool:
-        """Whether an address is a server's or the director's: the zone must not name arbitrary addresses."""
+        """Whether an address is a server's or the director's: address names must not resolve to any other."""
         upstreams = self.exchange.upstreams
         if upstreams is None:
             return False
@@ -139,7 +139,7 @@
             OSError: An address cannot be bound.
         """
         loop, config = asyncio.get_running_loop(), self._config
-        # Without a store nobody knows which leases the last run granted.
+        # Without a store, the leases that the last run granted are unknown.
         if config.leases.is_full_after_restart and self.exchange.resolutions.persist is None:
             leased_until_ms = self.exchange.clock() + DNS_LEASE_MS
             self.exchange.dispatcher.state.dns_lease_table().assume_full(leased_until_ms)
@@ -147,7 +147,7 @@
             lambda: self.streams.make_connection(TransportKind.TCP), *config.listen
         )
         host, port = tcp.sockets[0].getsockname()[:2]
-        self.address = (host, port)  # port 0 is chosen once, and UDP takes the same
+        self.address = (host, port)  # UDP uses the port that was chosen for TCP if the configured port is 0
         self._servers.append(tcp)
         self._udp = self._make_udp_listener(self.address)
         if config.tls is not None:
--- a/gladewalk/dns/limits.py
+++ b/gladewalk/dns/limits.py
@@ -1,8 +1,9 @@
-"""Bounds on what clients may cost, by network: query budgets and response rate limiting. No I/O.
+"""Limits on the load by clients: query budgets, response rate limiting and a budget of loop time. No I/O.
 
-Response rate limiting (as in BIND and NSD) counts like responses to one network, since a forger names its
-victim as the client. Above the rate responses are dropped; each few of them is sent truncated instead
-("slip"), so that a genuine client of that network returns over TCP, whose addresses cannot be forged.
+Response rate limiting (as in BIND and NSD) counts similar responses to one network, because an attacker that
+forges source addresses uses those of its victim. Responses over the rate are dropped; every few of them is
+sent truncated instead ("slip"), so that a genuine client in that network retries over TCP, whose source
+addresses cannot be forged.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from enum import Enum
 from functools import lru_cache
 
-MAX_BUCKETS = 16_384  # counted at a time, by network or by network and response; evicted by last use
+MAX_BUCKETS = 16_384  # by network, or by network and response; the least recently used is evicted
 NETWORK_BITS_V4, NETWORK_BITS_V6 = 24, 56
 
 
 @lru_cache(4_096)
 def client_network(address: str, v4_bits: int = NETWORK_BITS_V4, v6_bits: int = NETWORK_BITS_V6) -> str:
-    """Returns the network that an address is counted by: one client can have many addresses of it."""
+    """Returns the network that an address counts toward: one client can have many addresses in it."""
     parsed = ipaddress.ip_address(address)
     bits = v4_bits if parsed.version == 4 else v6_bits
     return str(ipaddress.ip_network((parsed, bits), strict=False))
@@ -31,9 +32,9 @@
     """The tokens of one key.
 
     Attributes:
-        tokens: Left at `updated_ms`.
-        updated_ms: When `tokens` was brought up to date.
-        refused_count: Requests refused since it last gave a token.
+        tokens: Tokens available at `updated_ms`.
+        updated_ms: When `tokens` was last updated.
+        refused_count: Requests refused since the last one that got a token.
     """
 
     tokens: float
@@ -42,12 +43,12 @@
 
 
 class TokenBuckets:
-    """Token buckets by key, each filled at a rate up to a burst; the least recently used are evicted.
+    """Token buckets by key, each refilled at a rate up to a burst; the least recently used are evicted.
 
     Args:
-        tokens_per_s: The rate.
-        burst: What a bucket holds at most; at least 1.
-        max_buckets: How many keys are counted at a time.
+        tokens_per_s: Refill rate of each bucket.
+        burst: Capacity of each bucket; at least 1.
+        max_buckets: Number of keys that are tracked at a time.
     """
 
     def __init__(self, tokens_per_s: float, burst: float, max_buckets: int = MAX_BUCKETS) -> None:
@@ -57,7 +58,7 @@
     def try_take(self, key: Hashable, now_ms: float) -> bool:
         """Takes one token; returns False if there is none."""
         bucket = self._bucket(key, now_ms)
-        elapsed_s = max(0.0, now_ms - bucket.updated_ms) / 1_000.0  # a clock that was set back earns nothing
+        elapsed_s = max(0.0, now_ms - bucket.updated_ms) / 1_000.0  # no tokens if the clock was set back
         bucket.tokens = min(self.burst, bucket.tokens + elapsed_s * self.tokens_per_s)
         bucket.updated_ms = now_ms
         if bucket.tokens < 1.0:
@@ -91,18 +92,18 @@
 
 
 class ResponseRateLimiter:
-    """Limits like responses to one network to a rate, with a burst of one second's worth.
+    """Limits similar responses to one network to a rate, with a burst of one second at that rate.
 
     Args:
         responses_per_s: The rate.
-        slip: Each so many of the responses over the rate is sent truncated; 0: none.
+        slip: Every `slip`-th response over the rate is sent truncated; 0: none.
     """
 
     def __init__(self, responses_per_s: float, slip: int) -> None:
         self._buckets, self._slip = TokenBuckets(responses_per_s, responses_per_s), slip
 
     def decide(self, network: str, response_key: Hashable, now_ms: float) -> RateDecision:
-        """Counts a response to a network; responses with equal keys are alike."""
+        """Counts a response to a network; responses with equal keys share one limit."""
         key = (network, response_key)
         if self._buckets.try_take(key, now_ms):
             return RateDecision.SEND
@@ -111,14 +112,14 @@
 
 
 class LoopTimeBudget:
-    """Bounds the event loop's time that one kind of work may take: a bucket of ms, filled at a fraction.
+    """Limits the event-loop time of one kind of work: a bucket of ms, refilled at a fraction of real time.
 
-    Guards against a flood of queries that are cheap each: the loop's other work keeps the rest of the time,
-    whatever a query costs on this machine.
+    Protects against a flood of queries that are cheap individually: other work on the loop keeps the
+    remaining time, whatever a query costs on this machine.
 
     Args:
-        fraction: Of the loop's time, over 0 and up to 1.
-        burst_ms: What the bucket holds at most.
+        fraction: Share of the loop's time, over 0 and up to 1.
+        burst_ms: Capacity of the bucket.
     """
 
     def __init__(self, fraction: float, burst_ms: float = 10.0) -> None:
@@ -127,7 +128,7 @@
         self._updated_ms = 0.0
 
     def charge(self, duration_ms: float, now_ms: float) -> float:
-        """Charges work that has just ended; returns for how many ms no more of it may start."""
+        """Charges work that has just ended; returns for how many ms no further work may start."""
         elapsed_ms = max(0.0, now_ms - self._updated_ms)
         refilled_ms = min(self._burst_ms, self._available_ms + elapsed_ms * self.fraction)
         self._available_ms = refilled_ms - duration_ms
@@ -135,5 +136,5 @@
         return max(0.0, -self._available_ms / self.fraction)
 
     def clear_debt(self) -> None:
-        """Cancels what was overspent, since no other work wanted that time."""
+        """Cancels overspent time; for when no other work needed it."""
         self._available_ms = max(0.0, self._available_ms)
--- a/gladewalk/dns/names.py
+++ b/gladewalk/dns/names.py
@@ -1,12 +1,13 @@
-"""Names that a zone has by rule: those that route a request, and the empty ones between them and the apex.
+"""Names that exist in a zone by rule: routed names, and the empty names between them and the apex.
 
     PART.[gGROUP.]OBJECT.CLASS.ZONE        3.g17.7f3a9c21e0b4d655.lot-video.cdn.example.
     _http._tcp.PART.[gGROUP.]OBJECT.CLASS.ZONE       the same, for SRV (RFC 2782)
-    b-HEX.ZONE                             the address that the hex digits spell, as SRV targets need a name
+    b-HEX.ZONE                             the address in the hex digits, since an SRV target must be a name
 
 OBJECT is 1 to 16 hex digits, PART a decimal number, GROUP the object's purge group if the client knows it.
-A name without a group is assumed to be in every group that was purged lately. The names in between exist and
-are empty (RFC 8020): resolvers that minimise query names (RFC 9156) ask for them first. No I/O.
+A name without a group is assumed to be in every recently purged group. The names between a routed name and
+the apex exist and have no records (RFC 8020): resolvers that minimise query names (RFC 9156) query them
+first. No I/O.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectName:
-    """The part of an object that a name stands for."""
+    """The part of an object that a routed name identifies."""
 
     class_name: str
     key: int
@@ -38,11 +39,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutedName:
-    """A name whose address the dispatcher decides.
+    """A name whose address the dispatcher chooses.
 
     Attributes:
-        target: What the name stands for.
-        is_service: The name is the service name that SRV is asked of (RFC 2782).
+        target: The part of an object that the name identifies.
+        is_service: The name begins with `_http._tcp`, and is queried for SRV records (RFC 2782).
     """
 
     target: ObjectName
@@ -51,19 +52,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AddressName:
-    """A name that spells one address."""
+    """A name made from one address."""
 
     address: str
 
 
 @dataclass(slots=True, frozen=True)
 class DirectorName:
-    """Any other name below an open class: the director itself serves what is asked for there."""
+    """Any other name below an open class: it resolves to the director itself."""
 
 
 @dataclass(slots=True, frozen=True)
 class EmptyNonTerminal:
-    """A name that exists and has no data (RFC 8499, section 7)."""
+    """A name that exists and has no records (RFC 8499, section 7)."""
 
 
 RuleName = RoutedName | AddressName | DirectorName | EmptyNonTerminal
@@ -75,12 +76,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NamingRules:
-    """What the names of a zone depend on.
+    """The rules by which names exist in a zone.
 
     Attributes:
         classes: Names of the request classes.
-        open_classes: Classes below which any other name is the director itself.
-        is_known_address: Tells whether an address is a server's or the director's.
+        open_classes: Classes below which any name but those of objects resolves to the director itself.
+        is_known_address: Returns whether an address is a server's or the director's.
     """
 
     classes: frozenset[str]
@@ -88,7 +89,7 @@
     is_known_address: Callable[[str], bool] = _no_address
 
     def classify(self, labels: Labels) -> RuleName | None:
-        """Returns what a name is by rule; None if no rule makes it exist."""
+        """Returns the kind of a name; None if the name does not exist by rule."""
         if labels[:2] == (b"_http", b"_tcp"):
             inner = self._plain_routed(labels[2:])
             return RoutedName(inner.target, is_service=True) if inner is not None else None
@@ -102,7 +103,7 @@
         return self._classify_below_class(labels[:-1], labels[-1].decode("latin-1"))
 
     def _plain_routed(self, labels: Labels) -> RoutedName | None:
-        """Returns the routed name that a service name stands above."""
+        """Returns a routed name other than a service name; None if the labels are not one."""
         inner = self.classify(labels)
         return inner if isinstance(inner, RoutedName) and not inner.is_service else None
 
@@ -130,7 +131,7 @@
 
 
 def address_name(address: str, zone: dns.name.Name) -> dns.name.Name:
-    """Returns the name in a zone that spells an address."""
+    """Returns the name in a zone that resolves to an address."""
     packed = ipaddress.ip_address(address).packed.hex()
     return dns.name.Name((f"b-{packed}".encode(), *zone.labels))
 
--- a/gladewalk/dns/processor.py
+++ b/gladewalk/dns/processor.py
@@ -1,7 +1,7 @@
-"""Processes DNS queries: the zones answer, or the dispatcher by a `ResolveRequest`.
+"""Processes DNS queries: the answer comes from a zone, or from the dispatcher by a `ResolveRequest`.
 
-What is answered is decided in `zone`, `responses`, `cookies` and `limits`; here are the steps between them
-and the counters. Every query ends in a response or a counter, and never in an exception.
+The modules `zone`, `responses`, `cookies` and `limits` decide on the response; this module calls them and
+counts the results. Every query ends in a response or a counter, and never in an exception.
 """
 
 from __future__ import annotations
@@ -57,20 +57,20 @@
         self.processor.on_resolved(self, servers, ttl_ms)
 
     def rejected(self) -> None:
-        """Responds that no server can be named now."""
+        """Responds with SERVFAIL, since no server can be named now."""
         self.processor.fail(self.query, dns.rcode.SERVFAIL, dns.edns.EDECode.NOT_READY)
 
 
 class QueryProcessor:
-    """Answers queries from the zones and the dispatcher, within the bounds of the settings.
+    """Answers queries from the zones and the dispatcher, within the limits of the settings.
 
     Args:
         exchange: Passes resolve requests to the dispatcher.
         counters: Where queries and responses are counted.
         config: The settings.
-        zones: Made of these settings.
-        own_port: Where the director itself serves.
-        alpn_of: Tells of a server whether TLS is used, and which protocols.
+        zones: The zones made from these settings.
+        own_port: Port of the director's HTTP front.
+        alpn_of: Returns whether a server uses TLS, and its ALPN identifiers.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._all_buckets = self._make_all_buckets()
 
     def apply(self, config: DnsConfig, zones: Sequence[Zone]) -> None:
-        """Takes over new settings; what was measured under settings that stay the same is kept."""
+        """Applies new settings; weights and rate buckets are kept if their settings are unchanged."""
         old, self._config = self._config, config
         self.zones, self._responses = zones, ResponseBuilder(config)
         if _weight_bounds(old) != _weight_bounds(config):
@@ -114,7 +114,7 @@
     # Queries.
 
     def handle_query(self, wire: bytes, sender: QuerySender) -> None:
-        """Answers a query through its sender, at once or later; raises nothing, whatever the bytes are."""
+        """Responds through the sender, at once or later; raises no exception, whatever the bytes are."""
         if len(wire) < HEADER_BYTES or wire[2] & QR_BIT:
             self._counters.add("dns.dropped")
             return sender.drop()
@@ -135,7 +135,7 @@
         self._answer(query)
 
     def _take_from_budgets(self, client_address: str, now_ms: float) -> bool:
-        """Takes a query from the budgets of its network and of all clients; returns False if one is spent."""
+        """Charges a query to the budgets of its network and all clients; returns False if one is used up."""
         networks = self._network_buckets
         if networks is not None and not networks.try_take(client_network(client_address), now_ms):
             self._counters.add("dns.over_network")
@@ -158,7 +158,7 @@
         message = query.message
         if message.edns > 0:
             return self.fail(query, dns.rcode.BADVERS)
-        if not message.question and query.edns.client_cookie:  # RFC 7873, section 5.4: wants only a cookie
+        if not message.question and query.edns.client_cookie:  # RFC 7873, section 5.4: requests only a cookie
             return self._respond(query, self._responses.error(message, dns.rcode.NOERROR))
         if len(message.question) != 1 or query.rdtype in META_TYPES:
             return self.fail(query, dns.rcode.FORMERR)
@@ -176,7 +176,7 @@
     # Routed names.
 
     def _resolve(self, query: Query, result: LookupResult, routed: RoutedName, zone: Zone) -> None:
-        """Asks the dispatcher which server a routed name stands for."""
+        """Sends the dispatcher a request for the servers of a routed name."""
         if len(self._exchange.resolutions.open) >= MAX_OPEN_RESOLUTIONS:
             self._counters.add("dns.open_most")
             return self.fail(query, dns.rcode.SERVFAIL, dns.edns.EDECode.NOT_READY)
@@ -228,7 +228,7 @@
     def fail(
         self, query: Query, rcode: dns.rcode.Rcode, extended_error: dns.edns.EDECode | None = None
     ) -> None:
-        """Responds with a code and no records."""
+        """Responds with a response code and no records."""
         query.extended_error = extended_error
         self._respond(query, self._responses.error(query.message, rcode))
 
@@ -258,7 +258,7 @@
 
 
 def is_ip_address(host: str) -> bool:
-    """Whether a host is an address, and not a name, which no A record can hold."""
+    """Whether a host is an IP address; A and AAAA records cannot contain a host name."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/gladewalk/dns/query.py
+++ b/gladewalk/dns/query.py
@@ -1,4 +1,4 @@
-"""A DNS query on its way through the front, and the interface by which listeners hand queries on."""
+"""A parsed DNS query, and the interfaces between the listeners and the query processor."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TransportKind(Enum):
-    """How a query came."""
+    """The transport over which a query was received."""
 
     UDP = "udp"
     TCP = "tcp"
@@ -27,7 +27,7 @@
 
 
 class QuerySender(Protocol):
-    """The way that one query came and its response goes; either method is called once."""
+    """The client and transport of one query; `send` or `drop` is called once to finish it."""
 
     @property
     def client_address(self) -> str:
@@ -35,7 +35,7 @@
 
     @property
     def transport(self) -> TransportKind:
-        """How the query came."""
+        """The transport over which the query was received."""
 
     def send(self, wire: bytes) -> None:
         """Sends the response."""
@@ -45,23 +45,23 @@
 
 
 class QueryHandler(Protocol):
-    """What listeners hand queries to."""
+    """Processes the queries that listeners receive."""
 
     def handle_query(self, wire: bytes, sender: QuerySender) -> None:
-        """Answers a query through its sender, at once or later; raises nothing, whatever the bytes are."""
+        """Responds through the sender, at once or later; raises no exception, whatever the bytes are."""
 
 
 @dataclass(slots=True)
 class Query:
-    """A query that was parsed, and what its response needs.
+    """A parsed query, and the state that its response depends on.
 
     Attributes:
         message: The query as parsed.
-        edns: What it asks for by EDNS.
-        sender: The way back.
-        size_bytes: Of the query.
-        cookie_status: What its cookie shows.
-        trusted_subnet: Its client subnet if the resolver may send one.
+        edns: The requests in its EDNS options.
+        sender: Its client and transport, through which the response is sent.
+        size_bytes: Size of the query message.
+        cookie_status: Result of verifying its cookie.
+        trusted_subnet: Its client subnet if the resolver is trusted to send one; otherwise None.
         extended_error: An extended error code (RFC 8914) for the response.
     """
 
@@ -90,7 +90,7 @@
 
     @property
     def transport(self) -> TransportKind:
-        """How the query came."""
+        """The transport over which the query was received."""
         return self.sender.transport
 
     @property
--- a/gladewalk/dns/responses.py
+++ b/gladewalk/dns/responses.py
@@ -1,11 +1,13 @@
-"""Response messages from what the zone, the dispatcher and the limits decide, down to their bytes. No I/O.
+"""Builds and encodes responses from the decisions of the zone, the dispatcher and the limits. No I/O.
+
+Errors:
 
 outside the zones, or not class IN         REFUSED, "not authoritative"
-a transfer (AXFR, IXFR)                    REFUSED, "prohibited": the zone has names without end
+a transfer (AXFR, IXFR)                    REFUSED, "prohibited": the zone has too many names to list
 another opcode                             NOTIMP
-cannot be parsed, not one question         FORMERR
+malformed, or not exactly one question     FORMERR
 an EDNS version above 0                    BADVERS
-signed with a key (TSIG)                   NOTAUTH: there are no keys
+signed with a key (TSIG)                   NOTAUTH: no keys are configured
 rejected by the dispatcher, or timed out   SERVFAIL, "not ready"
 """
 
@@ -31,7 +33,7 @@
 from .settings import DnsConfig
 from .zone import LookupResult, LookupStatus, Zone, address_rrsets
 
-MIN_UDP_BYTES = 512  # that every client takes (RFC 1035, section 4.2.1)
+MIN_UDP_BYTES = 512  # a size that every client accepts (RFC 1035, section 4.2.1)
 QR_FLAG = 0x8000
 OPCODE_AND_RD_BITS = 0x79  # of the header's third byte
 COUNTS_BYTES = 8
@@ -40,13 +42,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceEndpoint:
-    """Where the dispatcher sends a client.
+    """An address and port to which the dispatcher sends a client.
 
     Attributes:
         address: IP address.
         port: TCP port.
-        is_secure: The server speaks TLS there.
-        alpn: Protocols it speaks (RFC 7301).
+        is_secure: The server uses TLS at that port.
+        alpn: ALPN identifiers of its protocols (RFC 7301).
     """
 
     address: str
@@ -56,7 +58,7 @@
 
 
 class ResponseBuilder:
-    """Builds responses, and encodes them within the bounds of the settings."""
+    """Builds responses, and encodes them within the limits of the settings."""
 
     def __init__(self, config: DnsConfig) -> None:
         self.config = config
@@ -66,7 +68,7 @@
     # Messages.
 
     def from_lookup(self, query: Query, result: LookupResult) -> dns.message.Message:
-        """Builds the response to a query that the zone itself answers."""
+        """Builds the response to a query that is answered from the zone."""
         response = self._begin(query.message)
         if result.status is LookupStatus.REFERRAL:
             response.flags &= ~dns.flags.AA
@@ -84,7 +86,7 @@
         endpoints: Sequence[ServiceEndpoint],
         ttl_s: int,
     ) -> dns.message.Message:
-        """Builds the response with what the dispatcher decided; NODATA if the type cannot express it."""
+        """Builds the response that names the dispatcher's servers; NODATA if no record of that type can."""
         response = self._begin(query.message)
         response.answer = list(result.answer)
         owner = result.owner
@@ -104,7 +106,7 @@
         return response
 
     def error(self, message: dns.message.Message, rcode: dns.rcode.Rcode) -> dns.message.Message:
-        """Builds a response that has a code and no records."""
+        """Builds a response with a response code and no records."""
         response = self._begin(message)
         response.flags &= ~dns.flags.AA
         response.set_rcode(rcode)
@@ -118,7 +120,7 @@
     # Bytes.
 
     def encode(self, query: Query, response: dns.message.Message, now_ms: float) -> bytes | None:
-        """Returns the response's bytes as they may be sent; None if rate limiting drops it."""
+        """Returns the bytes to send; None if rate limiting drops the response."""
         if query.has_edns:
             self._set_edns(query, response, now_ms)
         if query.transport is not TransportKind.UDP:
@@ -139,7 +141,7 @@
         if decision is not RateDecision.SLIP and not is_amplifying:
             return wire
         if query.edns.client_cookie and self.config.cookies is not None:
-            # RFC 7873, section 5.2.3: the client has its server cookie now, and may come again with it.
+            # RFC 7873, section 5.2.3: the client can retry with the server cookie in this response.
             response.set_rcode(dns.rcode.BADCOOKIE)
             return encode_header(response, is_truncated=False)
         return encode_header(response)
@@ -155,10 +157,10 @@
             self._edns_options(query, now_ms),
             PADDING_BLOCK_BYTES if is_padded else 0,
         )
-        response.set_rcode(rcode)  # of 12 bits: the upper ones are in EDNS, which was replaced
+        response.set_rcode(rcode)  # has 12 bits, the upper 8 in the OPT record that was just replaced
 
     def _edns_options(self, query: Query, now_ms: float) -> list[dns.edns.Option]:
-        """Returns the response's options: only what the query asks for, and an extended error."""
+        """Returns the response's options: those that the query requests, and an extended error."""
         edns = query.edns
         options: list[dns.edns.Option] = []
         if edns.client_cookie and self.config.cookies is not None:
@@ -181,7 +183,7 @@
         return options
 
     def _rate_decision(self, query: Query, response: dns.message.Message, now_ms: float) -> RateDecision:
-        """Counts responses as alike by their name if it has records, otherwise by their code."""
+        """Counts responses with records by name, and all others by response code."""
         if self._limiter is None or query.cookie_status is CookieStatus.VALID:
             return RateDecision.SEND
         has_records = response.rcode() == dns.rcode.NOERROR and response.answer and response.question
@@ -190,23 +192,23 @@
 
 
 def encode_unparsed_error(wire: bytes, rcode: dns.rcode.Rcode) -> bytes:
-    """Returns the response to a query that was not parsed: its id, opcode and RD, without a question."""
+    """Returns an error response with an unparsed query's id, opcode and RD, without its question."""
     flags = QR_FLAG | (wire[2] & OPCODE_AND_RD_BITS) << 8 | int(rcode)
     return wire[:2] + flags.to_bytes(2, "big") + bytes(COUNTS_BYTES)
 
 
 def encode_within(response: dns.message.Message, max_bytes: int) -> bytes:
-    """Returns the response within a size.
+    """Encodes a response within a size limit.
 
-    Additional records are left out without a mark (RFC 2181, section 9). If that is not enough, only the
-    header remains with TC set, which sends the client to TCP.
+    Additional records that do not fit are left out without setting TC (RFC 2181, section 9). If that is not
+    enough, all records are left out and TC is set, which makes the client retry over TCP.
     """
     wire = response.to_wire(max_size=max_bytes, prefer_truncation=True)
     return encode_header(response) if wire[2] & TC_BIT else wire
 
 
 def encode_header(response: dns.message.Message, is_truncated: bool = True) -> bytes:
-    """Returns the response without its records: header, question and EDNS."""
+    """Encodes a response without its records: header, question and EDNS."""
     if is_truncated:
         response.flags |= dns.flags.TC
     response.answer, response.authority, response.additional = [], [], []
@@ -220,7 +222,7 @@
     endpoints: Sequence[ServiceEndpoint],
     ttl_s: int,
 ) -> None:
-    """Adds SRV records (RFC 2782): each address has a name as its target, whose address is additional."""
+    """Adds SRV records (RFC 2782) with address names as targets, and the addresses of these targets."""
     texts = [f"0 1 {endpoint.port} {address_name(endpoint.address, zone.origin)}" for endpoint in endpoints]
     response.answer.append(dns.rrset.from_text(owner, ttl_s, "IN", "SRV", *texts))
     for address in dict.fromkeys(endpoint.address for endpoint in endpoints):
@@ -230,7 +232,7 @@
 def service_bindings(
     owner: dns.name.Name, rdtype: str, endpoints: Sequence[ServiceEndpoint], ttl_s: int
 ) -> list[dns.rrset.RRset]:
-    """Returns SVCB or HTTPS records in service mode (RFC 9460), with address hints that save a query."""
+    """Returns SVCB or HTTPS records in service mode (RFC 9460), whose address hints save a query."""
     texts = []
     for endpoint in endpoints:
         hint = "ipv6hint" if ipaddress.ip_address(endpoint.address).version == 6 else "ipv4hint"
--- a/gladewalk/dns/settings.py
+++ b/gladewalk/dns/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the DNS front: the table `[dns]`, or a file with the same keys alone, checked and resolved."""
+"""Settings of the DNS front, checked and converted: the table `[dns]`, or a file with only its keys."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
-DEFAULT_RECORD_TTL_S = 300  # of records whose line has none
+DEFAULT_RECORD_TTL_S = 300  # of records whose line has no TTL
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneRecords:
-    """A set of records of the file `records`, and the zone it belongs to."""
+    """A record set from the file `records`, and the zone that it belongs to."""
 
     origin: dns.name.Name
     rrset: dns.rrset.RRset
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """How long resolvers may cache an answer, and what it is assumed to bring.
+    """How long resolvers may cache an answer, and how many transfers it is assumed to cause.
 
     Attributes:
-        transfers_per_answer: Concurrent transfers that one answer may bring, of a resolver not known yet.
-        max_transfers_per_answer: Upper bound on what is measured.
-        min_ttl_ms: TTL of answers with a server that is warming up or near its bound.
+        transfers_per_answer: Concurrent transfers that one answer to an unknown resolver is assumed to cause.
+        max_transfers_per_answer: Upper bound on the estimate for a known resolver.
+        min_ttl_ms: TTL of answers with a server that is in slow start or near its lease limit.
         max_ttl_ms: TTL of other answers.
-        is_full_after_restart: A start without a store assumes all lease capacity to be used.
+        is_full_after_restart: After a start without a store, all lease capacity is assumed to be in use.
     """
 
     transfers_per_answer: float = 1.0
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RateLimits:
-    """Bounds on what clients may ask for; a rate of 0 is no limit.
+    """Limits on queries and responses; a rate of 0 means no limit.
 
     Attributes:
-        answers_per_s: Like responses to one network over UDP.
-        slip: Each so many of the responses over that rate is sent truncated; 0: none.
-        network_queries_per_s: Queries of one network.
-        queries_per_s: Queries of all clients.
-        max_loop_fraction: Of the event loop's time that UDP may take.
+        answers_per_s: Similar responses to one network over UDP.
+        slip: Every `slip`-th response over that rate is sent truncated; 0: none.
+        network_queries_per_s: Queries from one network.
+        queries_per_s: Queries from all clients.
+        max_loop_fraction: Share of the event loop's time that queries over UDP may take.
     """
 
     answers_per_s: float = 0.0
@@ -75,13 +75,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamLimits:
-    """Bounds on connections over TCP and TLS.
+    """Limits on connections over TCP and TLS.
 
     Attributes:
-        max_connections: Open at once.
-        max_connections_per_client: Of them by one client.
-        max_open_queries: Queries of one connection that wait at a time.
-        idle_timeout_ms: After which an idle connection is closed.
+        max_connections: Open connections.
+        max_connections_per_client: Open connections from one client.
+        max_open_queries: Queries of one connection that are processed at a time.
+        idle_timeout_ms: Time without a query after which a connection is closed.
     """
 
     max_connections: int = 64
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CertificateFiles:
-    """The files that a TLS context was made of."""
+    """The files from which a TLS context was made."""
 
     certificate: Path
     key: Path
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TlsListener:
-    """DNS over TLS (RFC 7858)."""
+    """Address and TLS context of DNS over TLS (RFC 7858)."""
 
     address: Address
     context: ssl.SSLContext
@@ -109,27 +109,27 @@
 
 @dataclass(slots=True, frozen=True)
 class DnsConfig:
-    """What the DNS front serves, and where.
+    """All settings of the DNS front.
 
     Attributes:
         listen: Address for UDP and TCP.
         zone: The zone whose names are routed.
-        own_address: Answered where no server may be named.
+        own_address: The director's address, returned when no server may be named.
         max_wait_ms: How long a query may wait for its answer.
-        leases: How long answers may be cached, and what they weigh.
-        zones: Further zones, with the same names below them.
+        leases: How long answers may be cached, and the load that they count as.
+        zones: Further zones, which have the same routed names.
         nameservers: Names of name servers with their addresses as glue; empty: `ns`, at `own_address`.
         hostmaster: Mailbox of the SOA record.
         negative_ttl_s: TTL of negative answers (RFC 2308).
-        records: Further records.
-        open_classes: Classes below which any other name is the director itself.
+        records: Records from the file `records`.
+        open_classes: Classes below which any name but those of objects resolves to the director itself.
         nsid: Name server identifier (RFC 5001); empty: none.
-        max_udp_bytes: Of a response over UDP.
-        max_amplification: Size of a UDP response over that of its query, for clients without a cookie.
+        max_udp_bytes: Largest response over UDP.
+        max_amplification: Largest ratio of a UDP response to its query, for clients without a valid cookie.
         cookies: None if DNS cookies are off.
-        ecs_resolvers: Networks of resolvers whose client subnet (RFC 7871) is believed.
-        rates: Bounds on queries.
-        streams: Bounds on connections.
+        ecs_resolvers: Networks of resolvers that are trusted to send a client subnet (RFC 7871).
+        rates: Limits on queries and responses.
+        streams: Limits on connections.
         tls: None if DNS over TLS is off.
     """
 
@@ -155,12 +155,12 @@
 
     @property
     def origins(self) -> tuple[dns.name.Name, ...]:
-        """All zones."""
+        """The names of all zones."""
         return (self.zone, *self.zones)
 
 
 def load_dns(path: str, own_host: str) -> DnsConfig | None:
-    """Loads a file that holds the settings of the DNS front alone; None if it turns the front off.
+    """Loads a file with only the settings of the DNS front; None if it disables the front.
 
     Raises:
         ConfigError: The file or a value in it cannot be used.
@@ -170,7 +170,7 @@
 
 
 def configured_dns(options: Options, own_host: str) -> DnsConfig | None:
-    """Returns the settings in `[dns]`; None if there is no such table, or it turns the front off.
+    """Returns the settings in `[dns]`; None if there is no such table, or it disables the front.
 
     Raises:
         ConfigError: A value cannot be used.
@@ -181,13 +181,13 @@
 
 
 def read_dns(table: DnsOptions, own_host: str, folder: Path, where: str) -> DnsConfig | None:
-    """Converts `[dns]`; None if it turns the front off.
+    """Checks and converts `[dns]`; None if it disables the front.
 
     Args:
         table: The table as it was read.
-        own_host: The director's own host, answered if the table has no `own_address`.
-        folder: What paths in the table are relative to.
-        where: Begins the line of an error.
+        own_host: The director's own host; replaces `own_address` if the table has none.
+        folder: The folder that paths in the table are relative to.
+        where: Prefix of error messages.
 
     Raises:
         ConfigError: A value cannot be used.
@@ -222,7 +222,7 @@
 
 @contextmanager
 def _errors_at(where: str, key: str) -> Iterator[None]:
-    """Turns what the block raises about a value into a `ConfigError` that names the value's key."""
+    """Converts an error that the block raises to a `ConfigError` with the setting's key."""
     try:
         yield
     except (ConfigError, ValueError, dns.exception.DNSException) as error:
@@ -325,7 +325,7 @@
 
 
 def load_certificate(context: ssl.SSLContext, files: CertificateFiles) -> None:
-    """Loads a certificate and its unencrypted key into a context, for its connections from now on."""
+    """Loads a certificate and its unencrypted key into a context, for its future connections."""
     context.load_cert_chain(files.certificate, files.key, password="")
 
 
@@ -340,7 +340,7 @@
 def load_records(path: Path, origins: tuple[dns.name.Name, ...]) -> list[ZoneRecords]:
     """Loads a master file (RFC 1035, section 5) once for each zone; its relative names are below that zone.
 
-    A name with a CNAME has nothing else (RFC 1034, section 3.6.2).
+    A name with a CNAME must not have other records (RFC 1034, section 3.6.2).
 
     Raises:
         ConfigError: The file cannot be read, has a name outside the zone, or an SOA or NS at the apex.
@@ -354,9 +354,9 @@
 
 def _parse_records(text: str, origin: dns.name.Name, path: Path) -> Iterator[ZoneRecords]:
     try:
-        # Read below the root: the library silently drops what is not below its origin.
-        whole = f"$ORIGIN {origin}\n$TTL {DEFAULT_RECORD_TTL_S}\n{text}"
-        zone = dns.zone.from_text(whole, origin=".", relativize=False, check_origin=False)
+        # Parsed with the root as origin: the library silently drops names that are not below the origin.
+        zone_text = f"$ORIGIN {origin}\n$TTL {DEFAULT_RECORD_TTL_S}\n{text}"
+        zone = dns.zone.from_text(zone_text, origin=".", relativize=False, check_origin=False)
     except (dns.exception.DNSException, ValueError) as error:
         raise ConfigError(f"{path}: dns.records: {error}") from error
     for name, rdataset in zone.iterate_rdatasets():
--- a/gladewalk/dns/tcp.py
+++ b/gladewalk/dns/tcp.py
@@ -1,9 +1,9 @@
-"""DNS over TCP (RFC 7766) and TLS (RFC 7858): messages, each after its length.
+"""DNS over TCP (RFC 7766) and TLS (RFC 7858): messages with a length prefix.
 
-Queries of one connection are processed concurrently, and answered in the order of their answers (RFC 7766,
-sections 6.2.1.1 and 7). While a connection's client does not read, nothing is decided for it: such a decision
-would grow old behind a slow reader, past a drain or a purge. A query whose response comes in such a time is
-processed again.
+Queries of one connection are processed concurrently, and each response is sent as soon as it is ready
+(RFC 7766, sections 6.2.1.1 and 7). While the client does not read, its queries are not processed: their
+responses would wait in the buffer and become outdated by a drain or a purge. A query whose response becomes
+ready during that time is processed again.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
     """All TCP and TLS connections of a front, within the limits of its settings.
 
     Args:
-        handler: What queries are handed to.
-        limits: Bounds on connections; may be replaced at any time.
+        handler: Processes the queries.
+        limits: Limits on connections; may be replaced at any time.
         counters: Where connections are counted.
         clock: Returns the present time in ms.
         deadlines: Runs the checks for idle connections.
@@ -51,7 +51,7 @@
         return StreamConnection(self, transport_kind)
 
     def admit(self, connection: StreamConnection) -> bool:
-        """Adds a connection; returns False if it is over a limit, and must be closed."""
+        """Adds a connection; returns False if it exceeds a limit and must be closed."""
         self._connections.add(connection)
         self._count_by_client[connection.client_address] += 1
         if len(self._connections) > self.limits.max_connections:
@@ -64,7 +64,7 @@
         return False
 
     def remove(self, connection: StreamConnection) -> None:
-        """Removes a connection that was lost."""
+        """Removes a closed connection."""
         self._connections.discard(connection)
         self._count_by_client[connection.client_address] -= 1
         if not self._count_by_client[connection.client_address]:
@@ -77,7 +77,7 @@
 
 
 class StreamQuery:
-    """The sender of one query of a connection."""
+    """The client and transport of one query of a connection."""
 
     __slots__ = ("connection", "is_answered", "wire")
 
@@ -91,7 +91,7 @@
 
     @property
     def transport(self) -> TransportKind:
-        """How the query came."""
+        """The transport over which the query was received."""
         return self.connection.transport_kind
 
     def send(self, wire: bytes) -> None:
@@ -112,16 +112,16 @@
         self._connections = connections
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
-        self._queued: deque[bytes] = deque()  # whole queries that were not handed on yet
-        self._open_count = 0  # queries that were handed on and not answered yet
+        self._queued: deque[bytes] = deque()  # complete queries that are not yet being processed
+        self._open_count = 0  # queries that are being processed
         self._is_write_paused = self._is_dispatching = self._is_half_closed = False
-        self._last_query_ms = 0.0  # when the last whole query came; parts of one do not count
+        self._last_query_ms = 0.0  # when the last complete query was received; partial ones do not count
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Admits the connection, or aborts it if it is over a limit."""
         self._transport = cast(asyncio.Transport, transport)
         self.client_address = str(self._transport.get_extra_info("peername")[0])
-        # Over TLS a limit of 0 would pause for good; its own buffer is what is bounded there.
+        # A limit of 0 would pause writing forever over TLS, where it applies to the TLS layer's own buffer.
         self._transport.set_write_buffer_limits(high=1 if self.transport_kind is TransportKind.TLS else 0)
         if not self._connections.admit(self):
             return self.close()
@@ -129,22 +129,22 @@
         self._check_idle()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Drops what is queued."""
+        """Discards queued queries."""
         self._transport = None
         self._queued.clear()
         self._connections.remove(self)
 
     def pause_writing(self) -> None:
-        """Stops handing queries on: the client does not read."""
+        """Stops processing queries, as the client does not read."""
         self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Hands on what was queued meanwhile."""
+        """Processes the queries that were queued during the pause."""
         self._is_write_paused = False
         self._dispatch_queued()
 
     def data_received(self, data: bytes) -> None:
-        """Queues each whole query, and hands on what the limits permit."""
+        """Queues each complete query, and processes as many as the limits permit."""
         self._buffer += data
         while (wire := self._take_message()) is not None:
             self._queued.append(wire)
@@ -177,7 +177,7 @@
         self._dispatch_queued()
 
     def _take_message(self) -> bytes | None:
-        """Removes the first whole message from the buffer; None if there is none."""
+        """Removes the first complete message from the buffer; None if there is none."""
         if len(self._buffer) < LENGTH_BYTES:
             return None
         end = LENGTH_BYTES + int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
@@ -187,8 +187,8 @@
         return wire
 
     def _dispatch_queued(self) -> None:
-        """Hands on queued queries as far as the limits permit, and stops reading beyond them."""
-        if self._is_dispatching:  # called by an answer that came at once
+        """Processes queued queries within the limits, and stops reading while too many are queued."""
+        if self._is_dispatching:  # called by a response sent from within the loop below
             return
         self._is_dispatching = True
         max_open = self._connections.limits.max_open_queries
@@ -216,7 +216,7 @@
             self._transport.close()
 
     def _check_idle(self) -> None:
-        """Closes the connection if no whole query has come for long and none is open."""
+        """Closes the connection after the idle timeout if no query is open or the client does not read."""
         if self._transport is None:
             return
         now_ms, timeout_ms = self._connections.clock(), self._connections.limits.idle_timeout_ms
--- a/gladewalk/dns/udp.py
+++ b/gladewalk/dns/udp.py
@@ -1,7 +1,7 @@
-"""DNS over UDP: a socket that is read one query a turn of the loop, within a budget of the loop's time.
+"""DNS over UDP: reads one query per event-loop iteration, within a budget of the loop's time.
 
-The budget applies while the HTTP front has had open requests lately. Queries that come meanwhile wait in the
-kernel's buffer, and are dropped there when it is full: a flood then costs the loop nothing.
+The budget applies while the HTTP front has open requests, and shortly afterwards. While reading is paused,
+queries wait in the kernel's receive buffer and are dropped when it is full: a flood then takes no loop time.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .query import QueryHandler, TransportKind
 
 MAX_QUERY_BYTES = 4_096
-HTTP_BUSY_SECONDS = 0.25  # how long after an open request of the HTTP front the budget still applies
+HTTP_BUSY_SECONDS = 0.25  # the budget applies this long after an open HTTP request was seen
 
 
 class UdpQuery:
-    """The sender of one query over UDP."""
+    """The client and transport of one query over UDP."""
 
     transport = TransportKind.UDP
 
@@ -41,10 +41,10 @@
 
     Args:
         address: Where to listen.
-        handler: What queries are handed to.
+        handler: Processes the queries.
         counters: Where failed sends and pauses are counted.
-        budget: The loop's time that queries may take.
-        has_open_requests: Tells whether the HTTP front has open requests.
+        budget: Event-loop time that queries may take.
+        has_open_requests: Returns whether the HTTP front has open requests.
 
     Raises:
         OSError: The address cannot be bound.
@@ -78,7 +78,7 @@
             return
         try:
             self._socket.sendto(wire, address)
-        except OSError:  # the send buffer is full, or the client has gone
+        except OSError:  # the send buffer is full, or the client is unreachable
             self._counters.add("dns.udp_errors")
 
     def _read(self) -> None:
@@ -93,7 +93,7 @@
         self._charge(started_s, time.perf_counter())
 
     def _charge(self, started_s: float, ended_s: float) -> None:
-        """Charges one query to the budget, and stops reading for a while if it is overspent."""
+        """Charges one query to the budget, and pauses reading if the budget is overspent."""
         pause_ms = self.budget.charge((ended_s - started_s) * 1_000.0, ended_s * 1_000.0)
         if self._has_open_requests():
             self._http_busy_until_s = ended_s + HTTP_BUSY_SECONDS
--- a/gladewalk/dns/zone.py
+++ b/gladewalk/dns/zone.py
@@ -1,12 +1,12 @@
-"""Zone lookup (RFC 1034): what a name and a type come to, from records, delegations, wildcards and rules.
+"""Zone lookup (RFC 1034) of a name and a type in records, delegations, wildcards and naming rules.
 
     RFC 1034, section 4.3.2     the steps of a lookup: delegations first, then the name itself, then wildcards
     RFC 4592                    which wildcard applies: the one below the closest encloser, no other
-    RFC 8020                    a name that has anything below it exists: NODATA, not NXDOMAIN
-    RFC 2308                    a negative answer carries the SOA, whose own TTL bounds it
-    RFC 4035, section 3.1.4.1   DS at a delegation is the parent's to answer
+    RFC 8020                    a name with names below it exists: NODATA, not NXDOMAIN
+    RFC 2308                    a negative answer has the SOA, and may be cached for its TTL
+    RFC 4035, section 3.1.4.1   DS at a delegation is answered by the parent zone
 
-No I/O and no clock: the same query has the same answer for as long as the zone is not replaced.
+No I/O and no clock: the same query has the same answer until the zone is replaced.
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
 
 MAX_CNAME_CHAIN = 8  # CNAMEs followed in one answer
 NS_TTL_S = 3_600
-ADDRESS_TTL_S = 300  # of name servers and names that spell an address; not of what the dispatcher decides
+ADDRESS_TTL_S = (
+    300  # of name servers, address names and the director; routed names have a TTL by the dispatcher
+)
 SOA_REFRESH_S, SOA_RETRY_S, SOA_EXPIRE_S = 3_600, 600, 86_400
 WILDCARD = b"*"
 ROUTED_TYPES = frozenset(
@@ -53,20 +55,20 @@
     NODATA = "nodata"
     NXDOMAIN = "nxdomain"
     REFERRAL = "referral"
-    ROUTED = "routed"  # the dispatcher decides
+    ROUTED = "routed"  # the dispatcher chooses the servers
 
 
 @dataclass(slots=True)
 class LookupResult:
-    """What a name and a type come to.
+    """The result of looking up a name and a type.
 
     Attributes:
         status: What was found.
-        owner: The name at the end of the CNAMEs in `answer`, if there are any.
+        owner: The name looked up last: the queried one, or the target of a CNAME in `answer`.
         answer: Records of the answer section; of a routed name, the CNAMEs that lead to it.
         authority: Records of the authority section.
         additional: Records of the additional section.
-        routed: What a routed name stands for.
+        routed: The routed name, if the status is `ROUTED`.
     """
 
     status: LookupStatus
@@ -79,13 +81,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneApex:
-    """What the records at a zone's apex are made of.
+    """The data of the records at a zone's apex.
 
     Attributes:
         origin: The zone's name.
         nameservers: Names of name servers, at least one, with their addresses as glue.
         hostmaster: Mailbox of the SOA record.
-        serial: Of the SOA record.
+        serial: Serial number of the SOA record.
         negative_ttl_s: TTL of negative answers.
     """
 
@@ -116,12 +118,12 @@
 
 
 class Zone:
-    """One zone: its records, and the names that it has by rule.
+    """One zone: its records, and the names that exist by rule.
 
     Args:
-        apex: What the apex records are made of.
+        apex: The data of the apex records.
         rules: Which names exist by rule.
-        own_address: Of names that are the director itself.
+        own_address: Address of names that resolve to the director itself.
         records: Further records.
     """
 
@@ -147,7 +149,7 @@
             self._existing.add(labels[depth:])
 
     def lookup(self, name: dns.name.Name, rdtype: RdataType) -> LookupResult:
-        """Returns what a name within this zone and a type come to; follows CNAMEs within the zone."""
+        """Looks up a name within this zone and a type; follows CNAMEs within the zone."""
         chain: list[RRset] = []
         owner = name
         for _ in range(MAX_CNAME_CHAIN):
@@ -190,7 +192,7 @@
         return labels in self._existing or not isinstance(self.rules.classify(labels), DirectorName | None)
 
     def _find_delegation(self, labels: Labels, rdtype: RdataType) -> Labels | None:
-        """Returns the highest delegation at or above a name, but for DS at the delegation itself."""
+        """Returns the highest delegation at or above a name, except for DS at the delegation itself."""
         for depth in range(len(labels) - 1, -1, -1):
             ancestor = labels[depth:]
             if dns.rdatatype.NS in self._records.get(ancestor, {}):
@@ -256,7 +258,7 @@
 
 
 def _ends_in_cname(result: LookupResult, rdtype: RdataType) -> bool:
-    """Whether the lookup goes on at the target of a CNAME."""
+    """Whether the lookup continues at the target of a CNAME."""
     if result.status is not LookupStatus.ANSWER or not result.answer:
         return False
     if rdtype in (dns.rdatatype.CNAME, dns.rdatatype.ANY):
@@ -285,11 +287,11 @@
 
 
 def with_owner(rrset: RRset, name: dns.name.Name) -> RRset:
-    """Returns the same data at a name as it was asked for: in its case, or matched by a wildcard."""
+    """Returns the same data under the queried name, which keeps its case or was matched by a wildcard."""
     return dns.rrset.from_rdata_list(name, rrset.ttl, list(rrset))
 
 
 def closest_zone(zones: Iterable[Zone], name: dns.name.Name) -> Zone | None:
-    """Returns the deepest zone that a name lies in."""
+    """Returns the deepest zone that contains a name."""
     enclosing = [zone for zone in zones if name.is_subdomain(zone.origin)]
     return max(enclosing, key=lambda zone: len(zone.origin), default=None)
