--- a/gladewalk/dns/conform/cases_types.py
+++ b/gladewalk/dns/conform/cases_types.py
@@ -158,12 +158,12 @@
 def srv_target(target: Target) -> None:
     """An SRV's target has an address record, and it comes along."""
     response = lookup_service(target)
-    given = {rrset.name: rrset for rrset in response.additional}
+    additional_by_name = {rrset.name: rrset for rrset in response.additional}
     for rdata in response.answer[0]:
-        expect(rdata.target in given, f"{rdata.target} has no address in the answer")
-        rdtype = dns.rdatatype.to_text(given[rdata.target].rdtype)
-        own = target.lookup(rdata.target, rdtype)
-        expect(section_types(own.answer) == {rdtype}, f"{rdata.target} asked for itself has none")
+        expect(rdata.target in additional_by_name, f"{rdata.target} has no address in the answer")
+        rdtype = dns.rdatatype.to_text(additional_by_name[rdata.target].rdtype)
+        direct_response = target.lookup(rdata.target, rdtype)
+        expect(section_types(direct_response.answer) == {rdtype}, f"{rdata.target} asked for itself has none")
 
 
 @CASES.case(2782, "")
--- a/gladewalk/dns/conform/cases_zone.py
+++ b/gladewalk/dns/conform/cases_zone.py
@@ -50,10 +50,10 @@
 def apex_ns_glue(target: Target) -> None:
     """Servers within the zone come with their addresses."""
     response = target.lookup(target.zone, "NS")
-    given = {rrset.name for rrset in response.additional}
+    additional_names = {rrset.name for rrset in response.additional}
     for rdata in response.answer[0]:
         if rdata.target.is_subdomain(target.zone):
-            expect(rdata.target in given, f"{rdata.target} has no address in the answer")
+            expect(rdata.target in additional_names, f"{rdata.target} has no address in the answer")
 
 
 @CASES.case(1912, "2.8")
--- a/gladewalk/dns/conform/registry.py
+++ b/gladewalk/dns/conform/registry.py
@@ -1,4 +1,4 @@
-"""Conformance cases: each names its RFC and section, and what a server must do."""
+"""Conformance cases: each states its RFC and section, and the required behaviour of a server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         name: Unique and permanent: scripts and reports refer to it.
         rfc: Number of the RFC.
         section: Section of the RFC; empty: the whole RFC.
-        description: What a server must do.
+        description: The required behaviour of a server.
         check: Returns if the server passes; otherwise raises `CheckFailedError` or `CheckSkippedError`.
     """
 
--- a/gladewalk/dns/limits.py
+++ b/gladewalk/dns/limits.py
@@ -84,7 +84,7 @@
 
 
 class RateDecision(Enum):
-    """What response rate limiting does with a response."""
+    """How response rate limiting treats a response."""
 
     SEND = "send"
     SLIP = "slip"  # sent truncated
--- a/gladewalk/dns/zone.py
+++ b/gladewalk/dns/zone.py
@@ -49,7 +49,7 @@
 
 
 class LookupStatus(Enum):
-    """What a lookup found."""
+    """The outcome of a lookup."""
 
     ANSWER = "answer"
     NODATA = "nodata"
@@ -63,7 +63,7 @@
     """The result of looking up a name and a type.
 
     Attributes:
-        status: What was found.
+        status: The outcome.
         owner: The name looked up last: the queried one, or the target of a CNAME in `answer`.
         answer: Records of the answer section; of a routed name, the CNAMEs that lead to it.
         authority: Records of the authority section.
--- a/tests/golden_dns_world.py
+++ b/tests/golden_dns_world.py
@@ -28,8 +28,8 @@
 from gladewalk.rehearsal.coordinator import Coordinator
 from gladewalk.rehearsal.director_harness import config_for
 
-PATH = Path(__file__).parent / "golden" / "dns.json"
-GOLDEN: dict[str, Any] = json.loads(PATH.read_text()) if PATH.exists() else {}
+GOLDEN_PATH = Path(__file__).parent / "golden" / "dns.json"
+GOLDEN: dict[str, Any] = json.loads(GOLDEN_PATH.read_text()) if GOLDEN_PATH.exists() else {}
 NOW_MS = 1_700_000_000_000.0
 BASIC = "listen = '127.0.0.1:0'\nzone = 'cdn.example.'\n"
 FULL = """
@@ -77,28 +77,28 @@
 
 
 def shorten(sent: str) -> str:
-    """A message, or its start and its digest where it is long."""
+    """Returns a message, or the start and the digest of a long one."""
     return sent if len(sent) <= 160 else f"{sent[:24]} {hashlib.sha256(sent.encode()).hexdigest()[:24]}"
 
 
 class Recorder:
-    """A query's sender that keeps what it is sent."""
+    """A query sender that records responses and drops."""
 
-    def __init__(self, peer: str, via: TransportKind) -> None:
-        self.client_address, self.transport, self.sent = peer, via, list[str]()
+    def __init__(self, peer: str, transport_kind: TransportKind) -> None:
+        self.client_address, self.transport, self.sent = peer, transport_kind, list[str]()
 
     def send(self, wire: bytes) -> None:
         self.sent.append(wire.hex())
 
     def shortened(self) -> list[str]:
-        return [shorten(one) for one in self.sent]
+        return [shorten(message) for message in self.sent]
 
     def drop(self) -> None:
         self.sent.append("drop")
 
 
-class Addresses:
-    """Servers by name, and nothing else."""
+class FixedAddresses:
+    """Upstreams that know the addresses of four servers, and ignore all other calls."""
 
     def address(self, name: str) -> tuple[str, int] | None:
         known = {"c0": "192.0.2.1", "c1": "192.0.2.2", "c2": "2001:db8::2", "c3": "box.example"}
@@ -119,8 +119,8 @@
         yield
 
 
-class World:
-    """A front without sockets, its settings read from a file, with a clock that stands until it is set."""
+class FrontEnvironment:
+    """A DNS front without sockets, with settings read from a file and a clock that only the test sets."""
 
     def __init__(self, folder: Path, text: str, names: str = "0123") -> None:
         (folder / "zone").write_text(RECORDS)
@@ -133,7 +133,7 @@
         exchange = Exchange(
             config, lambda: self.now_ms, Deadlines(lambda due: None), self.counters, lambda line: None
         )
-        exchange.upstreams = Addresses()
+        exchange.upstreams = FixedAddresses()
         self.exchange = exchange
         servers = tuple(
             api.Server(f"c{name}", api.Role.CACHE, "edge-1", 50.0, address=f"{name}:1") for name in names
@@ -145,28 +145,30 @@
             exchange, loaded, self.counters, 8_080, lambda name: (name == "c1", ("h2", "http/1.1"))
         )
 
-    def send(self, wire: bytes, peer: str = "127.0.0.1", via: TransportKind = TransportKind.UDP) -> list[str]:
-        recorder = Recorder(peer, via)
+    def send(
+        self, wire: bytes, peer: str = "127.0.0.1", transport_kind: TransportKind = TransportKind.UDP
+    ) -> list[str]:
+        recorder = Recorder(peer, transport_kind)
         self.front.processor.handle_query(wire, recorder)
         return recorder.shortened()
 
-    def ask(
+    def lookup(
         self,
         text: str,
         kind: str = "A",
         peer: str = "127.0.0.1",
-        via: TransportKind = TransportKind.UDP,
+        transport_kind: TransportKind = TransportKind.UDP,
         **more: Any,
     ) -> list[str]:
         query = dns.message.make_query(dns.name.from_text(text, ORIGIN), kind, **more)
         query.id = 0x4321
-        return self.send(query.to_wire(), peer, via)
+        return self.send(query.to_wire(), peer, transport_kind)
 
     def counts(self) -> dict[str, float]:
         return {name: self.counters[name] for name in sorted(self.counters) if name.startswith("dns.")}
 
 
 @contextmanager
-def world(text: str = FULL, names: str = "0123") -> Iterator[World]:
+def front_environment(text: str = FULL, names: str = "0123") -> Iterator[FrontEnvironment]:
     with tempfile.TemporaryDirectory() as folder, fixed_entropy():
-        yield World(Path(folder), text, names)
+        yield FrontEnvironment(Path(folder), text, names)
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,4 +1,4 @@
-"""The conformance suite against the DNS front, and against copies of it that are broken on purpose."""
+"""The conformance suite against the DNS front, and against fronts whose responses are changed to be wrong."""
 
 import asyncio
 import dataclasses
@@ -32,7 +32,7 @@
 from tests.test_dns import ZONE, dns_config, serve_hit
 
 Message = dns.message.Message
-# Turns a query and its good response into the broken response.
+# Changes the correct response to a query into a wrong one; None drops it.
 ResponseChange = Callable[[Message, Message, TransportKind], Message | None]
 
 
@@ -51,9 +51,9 @@
     return response
 
 
-def set_flag(bit: int, on: bool) -> ResponseChange:
+def set_flag(bit: int, is_set: bool) -> ResponseChange:
     def change(query: Message, response: Message, transport: TransportKind) -> Message:
-        response.flags = dns.flags.Flag(response.flags | bit if on else response.flags & ~bit)
+        response.flags = dns.flags.Flag(response.flags | bit if is_set else response.flags & ~bit)
         return response
 
     return change
@@ -96,7 +96,7 @@
     return lambda query, response: bool(query.question) and query.question[0].rdtype in rdtypes
 
 
-def lower_question(query: Message, response: Message, transport: TransportKind) -> Message:
+def lower_case_question(query: Message, response: Message, transport: TransportKind) -> Message:
     for rrset in response.question:
         rrset.name = dns.name.from_text(rrset.name.to_text().lower())
     return response
@@ -114,9 +114,9 @@
 
 def double_answer(query: Message, response: Message, transport: TransportKind) -> Message:
     response.answer = [*response.answer, *response.answer]
-    for place, rrset in enumerate(response.answer):
-        owner = dns.name.from_text(f"n{place}", ZONE)
-        response.answer[place] = dns.rrset.from_rdata_list(owner, 1, list(rrset))
+    for index, rrset in enumerate(response.answer):
+        owner = dns.name.from_text(f"n{index}", ZONE)
+        response.answer[index] = dns.rrset.from_rdata_list(owner, 1, list(rrset))
     return response
 
 
@@ -135,7 +135,7 @@
     return with_opt(response, *query.options) if response.edns >= 0 else response
 
 
-def lose_odd_ids(query: Message, response: Message, transport: TransportKind) -> Message | None:
+def drop_odd_ids(query: Message, response: Message, transport: TransportKind) -> Message | None:
     return None if query.id % 2 else response
 
 
@@ -143,7 +143,7 @@
     return dns.message.make_response(query)
 
 
-def has_other_version(query: Message, response: Message) -> bool:
+def has_unknown_edns_version(query: Message, response: Message) -> bool:
     return query.edns > 0
 
 
@@ -166,36 +166,39 @@
     "no AA": (set_flag(dns.flags.AA, False), ("aa-apex", "aa-routed", "aa-nxdomain")),
     "AA on refusals": (set_flag(dns.flags.AA, True), ("aa-refused",)),
     "RA": (set_flag(dns.flags.RA, True), ("rd-apex",)),
-    "no RD back": (set_flag(dns.flags.RD, False), ("rd-routed",)),
+    "RD not copied": (set_flag(dns.flags.RD, False), ("rd-routed",)),
     "AD": (set_flag(dns.flags.AD, True), ("security-nodata",)),
     "TC": (set_flag(dns.flags.TC, True), ("bits-apex", "tcp-not-cut")),
     "another id": (flip_id, ("ids-of-all-kinds", "code-apex")),
-    "NXDOMAIN for what is empty": (
+    "NXDOMAIN for an empty name": (
         only_if(is_empty_name, set_rcode(dns.rcode.NXDOMAIN)),
         ("empty-class", "minimised-a", "code-empty"),
     ),
-    "the case not kept": (lower_question, ("question-routed", "question-nxdomain")),
-    "no SOA": (only_if(is_negative, without_section("authority")), ("nxdomain-apex", "apex-nodata")),
-    "negatives for a day": (
+    "letter case not preserved": (lower_case_question, ("question-routed", "question-nxdomain")),
+    "negative responses without an SOA": (
+        only_if(is_negative, without_section("authority")),
+        ("nxdomain-apex", "apex-nodata"),
+    ),
+    "negative responses with a TTL of a day": (
         only_if(is_negative, set_ttl("authority", 86_400)),
         ("nxdomain-apex", "nodata-type-txt"),
     ),
     "no OPT": (without_edns, ("opt-in-answer-soa", "opt-in-answer-refused")),
-    "OPT unasked": (add_opt, ("no-opt-unasked",)),
-    "any version will do": (
-        only_if(has_other_version, set_rcode(dns.rcode.NOERROR)),
+    "OPT without a request": (add_opt, ("no-opt-unasked",)),
+    "any EDNS version accepted": (
+        only_if(has_unknown_edns_version, set_rcode(dns.rcode.NOERROR)),
         ("badvers-1", "badvers-255"),
     ),
-    "DO lost": (replace_opt(), ("do-copied",)),
-    "options sent back": (
+    "DO not copied": (replace_opt(), ("do-copied",)),
+    "options of the query sent back": (
         echo_options,
         ("option-unknown-65001", "keepalive-by-udp", "padding-by-udp"),
     ),
-    "a cookie without the server's part": (
+    "a cookie without the server's half": (
         replace_opt(CLIENT_COOKIE_ONLY),
         ("cookie-given", "cookie-unasked"),
     ),
-    "one cookie for all": (
+    "the same cookie for all clients": (
         replace_opt(SAME_COOKIE),
         ("cookie-by-client",),
     ),
@@ -203,28 +206,28 @@
         replace_opt(LONG_SCOPE),
         ("ecs-echoed", "ecs-unasked"),
     ),
-    "NXDOMAIN for what is not ours": (
+    "NXDOMAIN instead of REFUSED": (
         only_if(is_refused, set_rcode(dns.rcode.NXDOMAIN)),
         ("outside-parent", "outside-root", "axfr"),
     ),
-    "ANY gives all": (only_if(has_type("ANY"), double_answer), ("any-is-small",)),
+    "ANY with several record sets": (only_if(has_type("ANY"), double_answer), ("any-is-small",)),
     "no glue": (without_section("additional"), ("apex-ns-glue", "srv-target")),
-    "NXDOMAIN for the other family": (
+    "NXDOMAIN for the other address family": (
         only_if(has_type("AAAA"), set_rcode(dns.rcode.NXDOMAIN)),
         ("routed-other-family",),
     ),
-    "addresses for a day": (only_if(has_type("A"), set_ttl("answer", 86_400)), ("routed-ttl",)),
-    "half of all lost": (lose_odd_ids, ("many-from-one-socket", "tcp-pipelined")),
-    "TXT for everybody": (
+    "addresses with a TTL of a day": (only_if(has_type("A"), set_ttl("answer", 86_400)), ("routed-ttl",)),
+    "half of the responses dropped": (drop_odd_ids, ("many-from-one-socket", "tcp-pipelined")),
+    "empty responses to TXT": (
         only_if(has_type("TXT"), empty_response),
         ("nodata-type-txt", "apex-nodata"),
     ),
 }
 
 
-def break_responses(good: DnsFront, change: ResponseChange) -> None:
-    """Changes a front's responses from now on."""
-    handle_query = good.processor.handle_query
+def break_responses(front: DnsFront, change: ResponseChange) -> None:
+    """Replaces a front's query handler by one that changes its responses."""
+    handle_query = front.processor.handle_query
 
     class ChangingSender:
         def __init__(self, sender: QuerySender, wire: bytes) -> None:
@@ -234,7 +237,7 @@
         def send(self, wire: bytes) -> None:
             try:
                 query, response = dns.message.from_wire(self.wire), dns.message.from_wire(wire)
-            except Exception:  # noqa: BLE001 - what no parser reads is passed on as it is
+            except Exception:  # noqa: BLE001 - a malformed message is passed on unchanged
                 return self.sender.send(wire)
             changed = change(query, response, self.transport)
             if changed is None:
@@ -244,7 +247,7 @@
         def drop(self) -> None:
             self.sender.drop()
 
-    processor = good.processor
+    processor = front.processor
     processor.handle_query = lambda wire, sender: handle_query(wire, ChangingSender(sender, wire))  # type: ignore[method-assign]
 
 
@@ -262,16 +265,16 @@
             ecs_resolvers=(ipaddress.ip_network("127.0.0.0/8"),),
             streams=StreamLimits(max_connections_per_client=64),
         )
-        self.world = DirectorHarness([ScriptedServer(serve_hit, capacity=50.0)], dns=config)
-        await self.world.__aenter__()
-        assert self.world.director is not None and self.world.director.dns is not None
-        self.front = self.world.director.dns
+        self.harness = DirectorHarness([ScriptedServer(serve_hit, capacity=50.0)], dns=config)
+        await self.harness.__aenter__()
+        assert self.harness.director is not None and self.harness.director.dns is not None
+        self.front = self.harness.director.dns
         self.target = Target(
             self.front.address, ZONE, "lot-page", tls_address=self.front.tls_address, timeout_s=20.0
         )
 
     async def asyncTearDown(self) -> None:
-        await self.world.__aexit__()
+        await self.harness.__aexit__()
 
     async def test_the_front_passes_every_case(self) -> None:
         results = await asyncio.to_thread(run_cases, self.target)
@@ -295,13 +298,15 @@
     async def test_the_command_reports_failures(self) -> None:
         address = "{}:{}".format(*self.front.address)
         command = ["dns", "conform", address, ZONE.to_text(), "--class", "lot-page"]
-        ran = await asyncio.to_thread(CliRunner().invoke, gladewalk, [*command, "--only", "apex-", "--json"])
-        rows = [json.loads(line) for line in ran.output.splitlines()]
-        self.assertEqual((ran.exit_code, {row["verdict"] for row in rows}), (0, {"passed"}))
+        outcome = await asyncio.to_thread(
+            CliRunner().invoke, gladewalk, [*command, "--only", "apex-", "--json"]
+        )
+        rows = [json.loads(line) for line in outcome.output.splitlines()]
+        self.assertEqual((outcome.exit_code, {row["verdict"] for row in rows}), (0, {"passed"}))
         break_responses(self.front, set_flag(dns.flags.AA, False))
-        ran = await asyncio.to_thread(CliRunner().invoke, gladewalk, [*command, "--only", "aa-apex"])
-        self.assertEqual(ran.exit_code, 1)
-        self.assertIn("failed aa-apex (RFC 1035, 4.1.1)", ran.output)
-        bad = CliRunner().invoke(gladewalk, ["dns", "conform", "nowhere", ".", "--class", "x"])
-        self.assertEqual(bad.exit_code, 2)
+        outcome = await asyncio.to_thread(CliRunner().invoke, gladewalk, [*command, "--only", "aa-apex"])
+        self.assertEqual(outcome.exit_code, 1)
+        self.assertIn("failed aa-apex (RFC 1035, 4.1.1)", outcome.output)
+        invalid = CliRunner().invoke(gladewalk, ["dns", "conform", "nowhere", ".", "--class", "x"])
+        self.assertEqual(invalid.exit_code, 2)
         self.assertGreater(len(select_cases()), 200)
--- a/tests/test_zone.py
+++ b/tests/test_zone.py
@@ -1,4 +1,4 @@
-"""The zone, cookies, limits and weights without sockets, and a front that is fed arbitrary bytes."""
+"""Zone lookup, settings files, cookies and limits, without sockets."""
 
 import random
 import tempfile
@@ -60,14 +60,14 @@
 class ZoneLookupTest(unittest.TestCase):
     zone = make_zone()
 
-    def find(self, text: str, kind: str = "A") -> LookupResult:
-        return self.zone.lookup(dns.name.from_text(text, ORIGIN), dns.rdatatype.from_text(kind))
+    def look_up(self, text: str, rdtype: str = "A") -> LookupResult:
+        return self.zone.lookup(dns.name.from_text(text, ORIGIN), dns.rdatatype.from_text(rdtype))
 
-    def texts(self, found: LookupResult) -> list[str]:
-        return [f"{r.name.relativize(ORIGIN)} {rdata}" for r in found.answer for rdata in r]
+    def answer_texts(self, result: LookupResult) -> list[str]:
+        return [f"{r.name.relativize(ORIGIN)} {rdata}" for r in result.answer for rdata in r]
 
     def test_lookups_follow_rfc_1034(self) -> None:
-        for text, kind, expected in (
+        for text, rdtype, expected in (
             ("www", "A", LookupStatus.ANSWER),
             ("www", "MX", LookupStatus.NODATA),
             ("er.still", "A", LookupStatus.NODATA),
@@ -92,55 +92,60 @@
             ("loop1", "A", LookupStatus.ANSWER),
             ("www", "ANY", LookupStatus.ANSWER),
         ):
-            self.assertEqual(self.find(text, kind).status, expected, (text, kind))
+            self.assertEqual(self.look_up(text, rdtype).status, expected, (text, rdtype))
 
     def test_a_referral_has_servers_and_glue(self) -> None:
-        found = self.find("x.sub")
-        self.assertEqual([str(r.name) for r in found.authority], ["sub.cdn.example."])
-        self.assertEqual([str(r.name) for r in found.additional], ["ns.sub.cdn.example."])
+        result = self.look_up("x.sub")
+        self.assertEqual([str(r.name) for r in result.authority], ["sub.cdn.example."])
+        self.assertEqual([str(r.name) for r in result.additional], ["ns.sub.cdn.example."])
 
     def test_a_wildcard_applies_below_its_closest_encloser_only(self) -> None:
-        self.assertEqual(self.texts(self.find("some.wild")), ["some.wild 192.0.2.9"])
-        self.assertEqual(self.texts(self.find("more.some.wild")), ["more.some.wild 192.0.2.9"])
-        self.assertEqual(self.find("real.wild", "TXT").status, LookupStatus.NODATA)  # the name itself exists
-        self.assertEqual(self.find("b.wild").status, LookupStatus.NODATA)  # an empty non-terminal
-        self.assertEqual(
-            self.find("x.b.wild").status, LookupStatus.NXDOMAIN
-        )  # its closest encloser has no wildcard
-        self.assertEqual(self.find("some.wild", "MX").status, LookupStatus.NODATA)
+        self.assertEqual(self.answer_texts(self.look_up("some.wild")), ["some.wild 192.0.2.9"])
+        self.assertEqual(self.answer_texts(self.look_up("more.some.wild")), ["more.some.wild 192.0.2.9"])
+        # The name itself exists.
+        self.assertEqual(self.look_up("real.wild", "TXT").status, LookupStatus.NODATA)
+        self.assertEqual(self.look_up("b.wild").status, LookupStatus.NODATA)  # an empty non-terminal
+        # The closest encloser, b.wild, has no wildcard.
+        self.assertEqual(self.look_up("x.b.wild").status, LookupStatus.NXDOMAIN)
+        self.assertEqual(self.look_up("some.wild", "MX").status, LookupStatus.NODATA)
 
     def test_cnames_are_followed_within_the_zone_only(self) -> None:
         www = ["www 192.0.2.1", "www 192.0.2.2"]
-        self.assertEqual(self.texts(self.find("alias"))[:1] + sorted(self.texts(self.find("alias"))[1:]),
-                         ["alias www.cdn.example.", *www])  # fmt: skip
-        self.assertEqual(self.texts(self.find("far")), ["far www.elsewhere.example."])
-        self.assertEqual(self.texts(self.find("alias", "CNAME")), ["alias www.cdn.example."])
-        self.assertLessEqual(len(self.find("loop1").answer), 9)
-        routed = self.find("to-lot")
+        self.assertEqual(
+            self.answer_texts(self.look_up("alias"))[:1]
+            + sorted(self.answer_texts(self.look_up("alias"))[1:]),
+            ["alias www.cdn.example.", *www],
+        )
+        self.assertEqual(self.answer_texts(self.look_up("far")), ["far www.elsewhere.example."])
+        self.assertEqual(self.answer_texts(self.look_up("alias", "CNAME")), ["alias www.cdn.example."])
+        self.assertLessEqual(len(self.look_up("loop1").answer), 9)
+        routed = self.look_up("to-lot")
         self.assertEqual((routed.status, len(routed.answer)), (LookupStatus.ROUTED, 1))
         self.assertEqual(str(routed.owner), "0.a1.lot-page.cdn.example.")
 
     def test_the_apex_has_ns_records_and_the_deepest_zone_answers(self) -> None:
-        found = self.find("@", "NS")
-        self.assertEqual((len(found.answer[0]), len(found.additional)), (2, 2))
-        inner = make_zone(dns.name.from_text("in.cdn.example."))
-        self.assertIs(closest_zone([self.zone, inner], dns.name.from_text("x.in.cdn.example.")), inner)
+        result = self.look_up("@", "NS")
+        self.assertEqual((len(result.answer[0]), len(result.additional)), (2, 2))
+        inner_zone = make_zone(dns.name.from_text("in.cdn.example."))
+        self.assertIs(
+            closest_zone([self.zone, inner_zone], dns.name.from_text("x.in.cdn.example.")), inner_zone
+        )
         self.assertIsNone(closest_zone([self.zone], dns.name.from_text("example.")))
 
-    def test_a_bad_file_is_reported_in_one_line(self) -> None:
+    def test_an_invalid_file_is_rejected_with_its_fault(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "zone"
-            for text, why in (
+            for text, message in (
                 ("www IN A 1.2.3", "dns.records: "),
                 ("@ 60 IN NS x", "the apex has its SOA and NS"),
                 ("x.other. 60 IN A 192.0.2.1", "is not below"),
                 ("x 60 IN CNAME y\nx 60 IN A 192.0.2.1", "dns.records: "),
             ):
                 path.write_text(text + "\n")
-                with self.assertRaisesRegex(ConfigError, why):
+                with self.assertRaisesRegex(ConfigError, message):
                     load_records(path, (ORIGIN,))
-            own = Path(folder) / "dns.toml"
-            for text, why in (
+            settings_path = Path(folder) / "dns.toml"
+            for text, message in (
                 ("listen = '127.0.0.1:0'\nzone = 'a..b'", "dns.zone: "),
                 ("listen = '127.0.0.1:0'\nzone = 'z.'\nslip = -1", "slip: "),
                 ("listen = '127.0.0.1:0'\nzone = 'z.'\nzones = ['z.']", "dns.zones: "),
@@ -149,9 +154,9 @@
                 ("listen = '127.0.0.1:0'\nzone = 'z.'\necs_from = ['x']", "dns.ecs_from: "),
                 ("listen = '127.0.0.1:0'\nzone = 'z.'\n[nameservers]\nns = ['x']", "dns.nameservers: "),
             ):
-                own.write_text(text + "\n")
-                with self.assertRaisesRegex(ConfigError, why):
-                    load_dns(str(own), "127.0.0.1")
+                settings_path.write_text(text + "\n")
+                with self.assertRaisesRegex(ConfigError, message):
+                    load_dns(str(settings_path), "127.0.0.1")
 
 
 class CookiesAndLimitsTest(unittest.TestCase):
@@ -195,35 +200,35 @@
 
     def test_a_token_bucket_keeps_its_rate(self) -> None:
         rng, buckets, now = random.Random(1), TokenBuckets(10.0, 5.0, 3), 0.0
-        taken = 0
+        taken_count = 0
         for _ in range(5_000):
             now += rng.expovariate(0.05)
-            taken += buckets.try_take("a", now)
-        self.assertLessEqual(taken, 5 + now / 100.0)
-        self.assertGreater(taken, 0.9 * now / 100.0)
+            taken_count += buckets.try_take("a", now)
+        self.assertLessEqual(taken_count, 5 + now / 100.0)
+        self.assertGreater(taken_count, 0.9 * now / 100.0)
         for n in range(10):
             buckets.try_take(n, now)
         self.assertEqual(len(buckets.buckets), 3)
 
     def test_a_flood_is_bounded_by_the_loop_time_budget(self) -> None:
-        for cost in (0.1, 0.7, 5.0):
-            share, now, worked = LoopTimeBudget(0.3), 1e6, 0.0
+        for cost_ms in (0.1, 0.7, 5.0):
+            budget, now, worked_ms = LoopTimeBudget(0.3), 1e6, 0.0
             for _ in range(2_000):
-                now += cost
-                worked += cost
-                now += share.charge(cost, now)
-            self.assertTrue(0.28 < worked / (now - 1e6) < 0.32, cost)
-        share = LoopTimeBudget(0.3)
-        self.assertTrue(all(share.charge(0.7, 1e6 + n * 10.0) == 0.0 for n in range(1_000)))
+                now += cost_ms
+                worked_ms += cost_ms
+                now += budget.charge(cost_ms, now)
+            self.assertTrue(0.28 < worked_ms / (now - 1e6) < 0.32, cost_ms)
+        budget = LoopTimeBudget(0.3)
+        self.assertTrue(all(budget.charge(0.7, 1e6 + n * 10.0) == 0.0 for n in range(1_000)))
 
     def test_like_responses_above_the_rate_are_dropped_or_slipped(self) -> None:
-        limit = ResponseRateLimiter(5.0, 2)
-        fates = [limit.decide("n", "x", 0.0) for _ in range(9)]
-        self.assertEqual(fates[:5], [RateDecision.SEND] * 5)
+        limiter = ResponseRateLimiter(5.0, 2)
+        decisions = [limiter.decide("n", "x", 0.0) for _ in range(9)]
+        self.assertEqual(decisions[:5], [RateDecision.SEND] * 5)
         self.assertEqual(
-            fates[5:], [RateDecision.DROP, RateDecision.SLIP, RateDecision.DROP, RateDecision.SLIP]
+            decisions[5:], [RateDecision.DROP, RateDecision.SLIP, RateDecision.DROP, RateDecision.SLIP]
         )
-        self.assertIs(limit.decide("n", "y", 0.0), RateDecision.SEND)
-        self.assertIs(limit.decide("m", "x", 0.0), RateDecision.SEND)
+        self.assertIs(limiter.decide("n", "y", 0.0), RateDecision.SEND)
+        self.assertIs(limiter.decide("m", "x", 0.0), RateDecision.SEND)
         self.assertEqual(client_network("192.0.2.200"), "192.0.2.0/24")
         self.assertEqual(client_network("2001:db8:1:2ff::1"), "2001:db8:1:200::/56")
