--- a/tests/golden_dns_world.py
+++ b/tests/golden_dns_world.py
@@ -91,7 +91,7 @@
         self.sent.append(wire.hex())
 
     def shortened(self) -> list[str]:
-        return [shorten(message) for message in self.sent]
+        return [shorten(sent_message) for sent_message in self.sent]
 
     def drop(self) -> None:
         self.sent.append("drop")
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -225,9 +225,9 @@
 }
 
 
-def break_responses(front: DnsFront, change: ResponseChange) -> None:
+def break_responses(dns_front: DnsFront, change: ResponseChange) -> None:
     """Replaces a front's query handler by one that changes its responses."""
-    handle_query = front.processor.handle_query
+    handle_query = dns_front.processor.handle_query
 
     class ChangingSender:
         def __init__(self, sender: QuerySender, wire: bytes) -> None:
@@ -247,7 +247,7 @@
         def drop(self) -> None:
             self.sender.drop()
 
-    processor = front.processor
+    processor = dns_front.processor
     processor.handle_query = lambda wire, sender: handle_query(wire, ChangingSender(sender, wire))  # type: ignore[method-assign]
 
 
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -95,8 +95,8 @@
         self.assertIsNot(self.front.processor.weights, weights)
 
     async def test_each_kind_of_error_has_its_rcode(self) -> None:
-        def query_wire(name: str, rdtype: str = "A", **more: Any) -> bytes:
-            return dns.message.make_query(name, rdtype, **more).to_wire()
+        def query_wire(query_name: str, rdtype: str = "A", **more: Any) -> bytes:
+            return dns.message.make_query(query_name, rdtype, **more).to_wire()
 
         notify = dns.message.make_query(object_name(), "A")
         notify.set_opcode(dns.opcode.NOTIFY)
@@ -155,8 +155,8 @@
         self.assertEqual(await asyncio.gather(*waiting), [[DIRECTOR_ADDRESS], [CACHE_ADDRESS]])
 
     async def test_a_purge_between_decision_and_response_is_obeyed(self) -> None:
-        dispatcher = self.director.exchange.dispatcher
-        original_handle = dispatcher.handle
+        patched_dispatcher = self.director.exchange.dispatcher
+        original_handle = patched_dispatcher.handle
         decided_requests: list[api.Event] = []
 
         def handle(now_ms: float, event: api.Event) -> list[api.Action]:
@@ -167,7 +167,7 @@
                 original_handle(now_ms, api.Purge(event.key, 3, 1.0))
             return actions
 
-        with mock.patch.object(dispatcher, "handle", handle):
+        with mock.patch.object(patched_dispatcher, "handle", handle):
             self.assertEqual(await self.resolver.resolve(object_name()), [DIRECTOR_ADDRESS])
 
 
--- a/tests/test_dns_abuse.py
+++ b/tests/test_dns_abuse.py
@@ -98,9 +98,9 @@
 )  # fmt: skip
 @profile(max_examples=800, deadline=None, derandomize=True)
 def test_mutated_queries_are_answered_or_counted(
-    name: str, rdtype: int, edns_version: int, rng: random.Random, change_count: int
+    name: str, type_number: int, edns_version: int, rng: random.Random, change_count: int
 ) -> None:
-    query = dns.message.make_query(name, dns.rdatatype.RdataType.make(rdtype), use_edns=edns_version)
+    query = dns.message.make_query(name, dns.rdatatype.RdataType.make(type_number), use_edns=edns_version)
     wire = bytearray(query.to_wire())
     for _ in range(change_count):
         position = rng.randrange(len(wire))
--- a/tests/test_golden_dns.py
+++ b/tests/test_golden_dns.py
@@ -274,9 +274,9 @@
                 sender = Recorder("127.0.0.1", TransportKind.UDP)
                 for wire in wires:
                     env.front.processor.handle_query(wire, sender)
-                return [bytes.fromhex(message) for message in sender.sent if message != "drop"][
-                    :max_responses
-                ]
+                return [
+                    bytes.fromhex(sent_message) for sent_message in sender.sent if sent_message != "drop"
+                ][:max_responses]
 
             def connection(*_: Any, **__: Any) -> Any:
                 raise CheckSkippedError("no streams")
