--- a/gladewalk/dns/limits.py
+++ b/gladewalk/dns/limits.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from functools import lru_cache
 
-MAX_BUCKETS = 16_384  # by network, or by network and response; the least recently used is evicted
+MAX_BUCKETS = 16_384  # one by network, or by network and response; the least recently used is evicted
 NETWORK_BITS_V4, NETWORK_BITS_V6 = 24, 56
 
 
--- a/gladewalk/dns/responses.py
+++ b/gladewalk/dns/responses.py
@@ -3,7 +3,7 @@
 Errors:
 
 outside the zones, or not class IN         REFUSED, "not authoritative"
-a transfer (AXFR, IXFR)                    REFUSED, "prohibited": the zone has too many names to list
+a transfer (AXFR, IXFR)                    REFUSED, "prohibited": the zone has an unlimited set of names
 another opcode                             NOTIMP
 malformed, or not exactly one question     FORMERR
 an EDNS version above 0                    BADVERS
@@ -157,7 +157,8 @@
             self._edns_options(query, now_ms),
             PADDING_BLOCK_BYTES if is_padded else 0,
         )
-        response.set_rcode(rcode)  # has 12 bits, the upper 8 in the OPT record that was just replaced
+        # The code has 12 bits, the upper 8 of them in the OPT record that was just replaced.
+        response.set_rcode(rcode)
 
     def _edns_options(self, query: Query, now_ms: float) -> list[dns.edns.Option]:
         """Returns the response's options: those that the query requests, and an extended error."""
--- a/gladewalk/dns/settings.py
+++ b/gladewalk/dns/settings.py
@@ -42,8 +42,8 @@
     Attributes:
         transfers_per_answer: Concurrent transfers that one answer to an unknown resolver is assumed to cause.
         max_transfers_per_answer: Upper bound on the estimate for a known resolver.
-        min_ttl_ms: TTL of answers with a server that is in slow start or near its lease limit.
-        max_ttl_ms: TTL of other answers.
+        min_ttl_ms: TTL of answers with a server that is in slow start or has no lease capacity left.
+        max_ttl_ms: TTL of answers with a server without leases; in between, it falls as capacity is used.
         is_full_after_restart: After a start without a store, all lease capacity is assumed to be in use.
     """
 
@@ -185,7 +185,7 @@
 
     Args:
         table: The table as it was read.
-        own_host: The director's own host; replaces `own_address` if the table has none.
+        own_host: The director's own host; used as `own_address` if the table has none.
         folder: The folder that paths in the table are relative to.
         where: Prefix of error messages.
 
--- a/gladewalk/dns/zone.py
+++ b/gladewalk/dns/zone.py
@@ -34,9 +34,8 @@
 
 MAX_CNAME_CHAIN = 8  # CNAMEs followed in one answer
 NS_TTL_S = 3_600
-ADDRESS_TTL_S = (
-    300  # of name servers, address names and the director; routed names have a TTL by the dispatcher
-)
+# TTL of name servers, address names and the director; the dispatcher decides the TTL of routed names.
+ADDRESS_TTL_S = 300
 SOA_REFRESH_S, SOA_RETRY_S, SOA_EXPIRE_S = 3_600, 600, 86_400
 WILDCARD = b"*"
 ROUTED_TYPES = frozenset(
