--- a/gladewalk/dns/conform/cases_header.py
+++ b/gladewalk/dns/conform/cases_header.py
@@ -1,4 +1,4 @@
-"""What holds for every response: its header, its question, its size."""
+"""Checks that apply to every response: header, question, size, and equality by UDP and TCP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class QueryKind(Enum):
-    """The queries that each check is made with, by what they come to."""
+    """The queries that each check is run with, named by their expected response."""
 
     ROUTED = "routed"
     APEX = "apex"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExpectedResponse:
-    """A query, and what its response's header must have."""
+    """A query, and the header values that its response must have."""
 
     name: dns.name.Name
     rdtype: str
@@ -47,11 +47,11 @@
     """Returns the query of a kind, and its expected response."""
     match kind:
         case QueryKind.ROUTED:
-            return ExpectedResponse(target.routed, "A")
+            return ExpectedResponse(target.routed_name, "A")
         case QueryKind.APEX:
             return ExpectedResponse(target.zone, "SOA")
         case QueryKind.NODATA:
-            return ExpectedResponse(target.routed, "TXT")
+            return ExpectedResponse(target.routed_name, "TXT")
         case QueryKind.NXDOMAIN:
             return ExpectedResponse(target.below("no-such-name"), "A", dns.rcode.NXDOMAIN)
         case QueryKind.EMPTY:
@@ -76,21 +76,21 @@
 ) -> tuple[dns.message.Message, dns.message.Message]:
     """Sends the query of a kind by UDP; returns both messages."""
     expected = expected_response(kind, target)
-    query = target.query(expected.name, expected.rdtype)
+    query = target.build_query(expected.name, expected.rdtype)
     if is_recursion_desired:
         query.flags |= dns.flags.RD
-    return query, target.answer(query)
+    return query, target.send_query(query)
 
 
 def check_code(kind: QueryKind, target: Target) -> None:
-    """Requires the right code."""
+    """Requires the expected response code."""
     _, response = query_and_response(kind, target)
     rcode = expected_response(kind, target).rcode
     expect(response.rcode() == rcode, f"{response.rcode().name}, not {rcode.name}")
 
 
 def check_bits(kind: QueryKind, target: Target) -> None:
-    """Requires QR and the query's opcode, without TC and Z."""
+    """Requires QR and the query's opcode, and neither TC nor Z."""
     query, response = query_and_response(kind, target)
     expect(response.flags & dns.flags.QR, "QR is not set")
     expect(response.opcode() == query.opcode(), f"the opcode {response.opcode().name}")
@@ -107,7 +107,7 @@
 
 
 def check_recursion(kind: QueryKind, target: Target) -> None:
-    """Requires RD as in the query, without RA."""
+    """Requires RD as in the query, and no RA."""
     for is_desired in (False, True):
         _, response = query_and_response(kind, target, is_desired)
         is_set = bool(response.flags & dns.flags.RD)
@@ -119,15 +119,15 @@
     """Requires neither AD nor CD."""
     query, _ = query_and_response(kind, target)
     query.flags |= dns.flags.AD | dns.flags.CD
-    response = target.answer(query)
+    response = target.send_query(query)
     expect(not response.flags & (dns.flags.AD | dns.flags.CD), "AD or CD is set without DNSSEC")
 
 
 def check_question(kind: QueryKind, target: Target) -> None:
-    """Requires the question as it was sent, in its case."""
+    """Requires the question as it was sent, in the same case."""
     expected = expected_response(kind, target)
-    query = target.query(mixed_case(expected.name), expected.rdtype)
-    response = target.answer(query)
+    query = target.build_query(mixed_case(expected.name), expected.rdtype)
+    response = target.send_query(query)
     expect(len(response.question) == 1, f"{len(response.question)} questions are sent back")
     sent, returned = query.question[0], response.question[0]
     expect(sent.name.labels == returned.name.labels, f"the case was not kept: {returned.name}")
@@ -137,14 +137,14 @@
 def check_size(kind: QueryKind, target: Target) -> None:
     """Requires at most 512 bytes without EDNS."""
     expected = expected_response(kind, target)
-    wire = target.udp(target.query(expected.name, expected.rdtype).to_wire())
+    wire = target.exchange_udp(target.build_query(expected.name, expected.rdtype).to_wire())
     expect(len(wire) <= MAX_PLAIN_UDP_BYTES, f"{len(wire)} bytes without EDNS")
 
 
 def check_same_by_tcp(kind: QueryKind, target: Target) -> None:
     """Requires the same code and record sets by UDP and TCP."""
     query, by_udp = query_and_response(kind, target)
-    (by_tcp,) = target.tcp(query)
+    (by_tcp,) = target.exchange_tcp(query)
     expect(by_udp.rcode() == by_tcp.rcode(), f"{by_udp.rcode().name} by UDP, {by_tcp.rcode().name} by TCP")
     udp_sets, tcp_sets = (
         {(rrset.name, rrset.rdtype) for rrset in response.answer} for response in (by_udp, by_tcp)
@@ -154,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeaderCheck:
-    """A check that is made with a query of each kind."""
+    """A check that is run with a query of each kind."""
 
     name: str
     rfc: int
