--- a/gladewalk/nginx/location_rules.py
+++ b/gladewalk/nginx/location_rules.py
@@ -1,4 +1,4 @@
-"""The compiled rules of a location or server: access, error pages, and what is sent on."""
+"""The compiled rules of a location or server: access, error pages, and the fields and URI of a request."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True, frozen=True)
 class AccessList:
-    """`allow` and `deny` (ngx_http_access_module): the first rule that matches counts.
+    """`allow` and `deny` rules (ngx_http_access_module); the first rule that matches decides.
 
     Attributes:
-        rules: Whether access is allowed, and for which network; None stands for all.
+        rules: Pairs of whether access is allowed, and the network; a network of None matches every client.
     """
 
     rules: tuple[tuple[bool, Network | None], ...]
 
     def allows(self, client_address: str) -> bool:
-        """Returns whether a client has access; without a matching rule it has."""
+        """Returns whether a client has access; a client that no rule matches has access."""
         address = ipaddress.ip_address(client_address)
         for is_allowed, network in self.rules:
             if network is None or address in network:
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorPage:
-    """An `error_page` with its target."""
+    """A compiled `error_page`: the row, and the target as a template."""
 
     row: ErrorPageRow
     target: Template
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AddedField:
-    """An `add_header`; `is_always`: on every status."""
+    """A compiled `add_header`; with `is_always` the field is added whatever the status of the response."""
 
     name: str
     value: Template
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LocationRules:
-    """What is compiled of one location; see `LocationRow` and `ProxySettings`."""
+    """The compiled rules of one location; `LocationRow` and `ProxySettings` describe the values."""
 
     instructions: tuple[Instruction, ...]
     access: AccessList
@@ -71,8 +71,8 @@
 
     Args:
         row: The location.
-        captured: The named groups of its own regex, which its templates may use too.
-        custom: The variables that the file itself defines.
+        captured: The named groups of the location's regex, which the location's templates may use too.
+        custom: The variables that the configuration file defines.
 
     Raises:
         RoutingTableError: A value cannot be used.
@@ -93,7 +93,7 @@
 
 
 def compile_access(rows: Sequence[AccessRow]) -> AccessList:
-    """Compiles `allow` and `deny`; raises `ValueError` for a network that is none."""
+    """Compiles `allow` and `deny`; raises `ValueError` for an invalid network."""
     return AccessList(
         tuple(
             (row.is_allowed, None if row.network == "all" else ipaddress.ip_network(row.network))
@@ -103,7 +103,7 @@
 
 
 def compile_error_pages(rows: Sequence[ErrorPageRow], custom: frozenset[str]) -> dict[int, ErrorPage]:
-    """Compiles the pages by status; of two for one status the first counts."""
+    """Compiles the error pages by status; of two pages for one status the first is used."""
     pages: dict[int, ErrorPage] = {}
     for row in rows:
         for status in row.statuses:
@@ -112,7 +112,7 @@
 
 
 def compile_added_fields(rows: Sequence[Sequence[str]], custom: frozenset[str]) -> tuple[AddedField, ...]:
-    """Compiles rows of name, value and `always` or ""."""
+    """Compiles `add_header` rows, which are a name, a value, and `always` or ""."""
     return tuple(
         AddedField(name, parse_template(value, custom), condition == "always")
         for name, value, condition in rows
--- a/gladewalk/nginx/locations.py
+++ b/gladewalk/nginx/locations.py
@@ -1,4 +1,4 @@
-"""Translates locations: their patterns, what they proxy or answer, and the locations nested in them."""
+"""Translates `location` blocks: patterns, upstreams, local responses and nested locations."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 REGEX_MODIFIERS = ("~", "~*")
 MODIFIERS = ("=", "^~", *REGEX_MODIFIERS)
-MODIFIERS_IN_ONE_WORD = ("^~", "~*", "~", "=", "@")
+ATTACHED_MODIFIERS = ("^~", "~*", "~", "=", "@")
 NO_TARGET = "serves files of nginx's own disk, or nothing (--allow files answers 404)"
-FILES = "files"  # the name by which that loss is allowed
+FILES = "files"  # the `--allow` name for a location without a target, which then responds with 404
 
 
 class LocationPattern(NamedTuple):
@@ -42,7 +42,7 @@
 
     @property
     def identity(self) -> LocationPattern:
-        """What two locations beside one another must differ in."""
+        """The key that must be unique among the locations of one level; `^~` counts as a plain prefix."""
         return LocationPattern("", self.pattern) if self.modifier == "^~" else self
 
 
@@ -55,12 +55,12 @@
     def translate_level(
         self, block: Iterable[Node], scope: Scope, enclosing: LocationPattern | None = None
     ) -> list[LocationRow]:
-        """Translates the locations that stand in a block; refusals are noted.
+        """Translates the locations of a block; refused directives are recorded in the context.
 
         Args:
             block: The directives of a server or location.
-            scope: The directives in force there.
-            enclosing: The pattern of the location around them, if there is one.
+            scope: The directives in force in the block.
+            enclosing: The pattern of the enclosing location; None directly in a server.
         """
         rows: list[LocationRow] = []
         seen: set[LocationPattern] = set()
@@ -80,7 +80,10 @@
     def _translate(
         self, node: Node, outer: Scope, enclosing: LocationPattern | None, seen: set[LocationPattern]
     ) -> LocationRow:
-        """Translates one location; `seen` are the identities beside it so far, its own is added."""
+        """Translates one location.
+
+        `seen` has the identities of the earlier locations of the same level; this location's is added.
+        """
         pattern = parse_pattern(node)
         _check_pattern(node, pattern, enclosing)
         if not pattern.is_regex and pattern.identity in seen:
@@ -125,7 +128,10 @@
         return proxy
 
     def _translate_try_files(self, node: Node) -> str:
-        """Returns where an allowed `try_files` leads once none of its files exists, "" without one."""
+        """Returns the last argument of an allowed `try_files`, "" without one.
+
+        nginx uses the last argument if none of the files exists, and here none is taken to exist.
+        """
         for child in node.children:
             if child.name == "try_files" and child.name in self._context.allowed:
                 if len(child.args) < 2 or not child.args[-1].startswith(("@", "/", "=")):
@@ -139,7 +145,7 @@
     # proxy_pass.
 
     def _translate_proxy_pass(self, node: Node, pattern: LocationPattern) -> tuple[str, str | None]:
-        """Returns the upstream, "" without one, and the URI of a location's `proxy_pass`."""
+        """Returns the upstream and the URI of a location's `proxy_pass`; "" and None without one."""
         directives = [child for child in node.children if child.name == "proxy_pass"]
         if not directives:
             return "", None
@@ -164,7 +170,7 @@
         return target.upstream, target.uri
 
     def _resolve_upstream(self, node: Node, name: str) -> None:
-        """Checks that an upstream exists; adds one of a single server for a literal address."""
+        """Checks that an upstream exists; for a literal address, adds an upstream with that one server."""
         if name in self._context.upstreams:
             return
         try:
@@ -177,7 +183,7 @@
         self._context.upstreams[name] = UpstreamRow(name=name, defined_at=node.location, servers=[server])
 
     def _check_choices(self, node: Node, variable: str) -> None:
-        """Checks that a variable chooses among upstreams that are all known."""
+        """Checks that every value of a variable in `proxy_pass` names a known upstream."""
         values = self._context.choices.get(variable)
         if values is None:
             raise DirectiveRefusedError(
@@ -195,10 +201,10 @@
 
 
 def parse_pattern(node: Node) -> LocationPattern:
-    """Returns a location's pattern, whether its modifier is a word of its own or not.
+    """Returns a location's pattern; the modifier may be a separate argument or the pattern's prefix.
 
     Raises:
-        DirectiveRefusedError: There is no pattern, or the modifier is unknown.
+        DirectiveRefusedError: The pattern is missing, or the modifier is unknown.
     """
     if len(node.args) == 2:
         modifier, pattern = node.args
@@ -208,14 +214,14 @@
     if len(node.args) != 1 or not node.args[0]:
         raise DirectiveRefusedError(node, "takes a pattern")
     text = node.args[0]
-    for modifier in MODIFIERS_IN_ONE_WORD:
+    for modifier in ATTACHED_MODIFIERS:
         if text.startswith(modifier):
             return LocationPattern(modifier, text if modifier == "@" else text.removeprefix(modifier))
     return LocationPattern("", text)
 
 
 def _check_pattern(node: Node, pattern: LocationPattern, enclosing: LocationPattern | None) -> None:
-    """Refuses what nginx itself does not take; raises `RegexError` too."""
+    """Checks that nginx accepts a pattern here; raises `DirectiveRefusedError` or `RegexError`."""
     text = pattern.pattern
     if pattern.is_regex:
         Regex(text, pattern.modifier == "~*")
@@ -232,7 +238,7 @@
 
 
 def _translate_limit_except(node: Node, scope: Scope) -> tuple[list[str], list[AccessRow]]:
-    """Returns the methods of a location's `limit_except` and the access rules for all others."""
+    """Returns the methods of a location's `limit_except` and the access rules for all other methods."""
     directives = [child for child in node.children if child.name == "limit_except"]
     if not directives:
         return [], []
--- a/gladewalk/nginx/rewrite.py
+++ b/gladewalk/nginx/rewrite.py
@@ -1,7 +1,7 @@
-"""The rewrite module's instructions, compiled: `rewrite`, `return`, `set`, `break`, and `if` of these alone.
+"""Compiles and executes the instructions of ngx_http_rewrite_module.
 
-ngx_http_rewrite_module. What may stand within `if` is restricted to these, so that its block never needs to
-be a location of its own.
+These are `rewrite`, `return`, `set`, `break` and `if`. An `if` block may contain only the first four. nginx
+treats an `if` block as a separate location; the restriction makes that unnecessary here.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 REDIRECT_STATUSES = (301, 302, 303, 307, 308)
 CONDITION_OPERATORS = ("=", "!=", "~", "~*", "!~", "!~*")
-ABSOLUTE_PREFIXES = ("http://", "https://", "$scheme")  # a replacement that begins so is a redirect
+ABSOLUTE_PREFIXES = ("http://", "https://", "$scheme")  # a replacement with such a prefix is a redirect
 FLAG_REDIRECTS = {"permanent": 301, "redirect": 302}
 
 
 @dataclass(slots=True, frozen=True)
 class LocalResponse:
-    """A response without an upstream; `location`, perhaps only a path, is the target of a redirect."""
+    """A response that is sent without an upstream; `location` is the redirect target, a URL or a path."""
 
     status: int
     text: str = ""
@@ -33,13 +33,13 @@
 
 @dataclass(slots=True)
 class RewriteOutcome:
-    """What the instructions of one phase have come to.
+    """The outcome of the instructions of one phase.
 
     Attributes:
-        response: The response that ends the request here.
-        is_stopped: Whether no further instruction of this phase is executed.
-        is_uri_changed: Whether the location is searched anew.
-        is_uri_final: Whether `proxy_pass` replaces no prefix (`rewrite ... break`).
+        response: The response that ends the request; None if the request continues to the next phase.
+        is_stopped: Whether the remaining instructions of this phase are skipped.
+        is_uri_changed: Whether the location search must be repeated.
+        is_uri_final: Whether a `rewrite ... break` set the URI, so that `proxy_pass` replaces no prefix.
     """
 
     response: LocalResponse | None = None
@@ -53,7 +53,7 @@
 
     @property
     def row(self) -> StepRow:
-        """The step's row."""
+        """The table row that the step was compiled from."""
 
     def execute(self, state: RequestState, outcome: RewriteOutcome) -> None:
         """Executes the step."""
@@ -62,7 +62,10 @@
 def execute_instructions(
     instructions: Sequence[Instruction], state: RequestState, trace: list[str] | None
 ) -> RewriteOutcome:
-    """Executes the instructions of one phase in order; each that takes effect adds a line to `trace`."""
+    """Executes the instructions of one phase in order.
+
+    Each instruction that changes the URI, sets a response or ends the phase adds a line to `trace`.
+    """
     outcome = RewriteOutcome()
     _execute_all(instructions, state, outcome, trace)
     return outcome
@@ -90,9 +93,10 @@
     """`rewrite`: replaces the URI, or redirects.
 
     Attributes:
-        args: What stands behind a `?` of the replacement.
-        keeps_args: Whether the request's own query is appended.
-        redirect_status: 0 for an internal rewrite.
+        path: The replacement up to its first `?`.
+        args: The replacement after its first `?`; None without a `?`.
+        keeps_args: Whether the query of the request is kept, after `args` if there are any.
+        redirect_status: The status of the redirect; 0 for an internal rewrite.
     """
 
     row: StepRow
@@ -139,7 +143,10 @@
 
 
 def render_encoded(template: Template, state: RequestState) -> str:
-    """Renders a redirect or a query as nginx does: captures of an encoded URI are encoded again."""
+    """Renders a redirect or a query as nginx does.
+
+    If the request's URI was percent-encoded, the values of captures are percent-encoded again.
+    """
     if template.is_constant or not state.request.target.is_encoded:
         return template.render(state)
     rendered = []
@@ -152,7 +159,7 @@
 
 @dataclass(slots=True)
 class Return:
-    """`return`: a redirect, or a response with a text."""
+    """`return`: responds with a redirect or a text."""
 
     row: StepRow
     value: Template
@@ -185,7 +192,7 @@
     row: StepRow
 
     def execute(self, state: RequestState, outcome: RewriteOutcome) -> None:
-        """Stops the phase; the URI stays as it is."""
+        """Ends the phase; a URI that an earlier step changed is kept without a new location search."""
         outcome.is_stopped, outcome.is_uri_changed = True, False
 
 
@@ -194,9 +201,9 @@
     """`if`: executes instructions under a condition.
 
     Attributes:
-        operator: One of `CONDITION_OPERATORS`, or "": the value is neither empty nor 0.
-        operand: What the value is compared with by `=` and `!=`.
-        regex: What it is matched with by the others.
+        operator: One of `CONDITION_OPERATORS`, or "" for the test that the value is neither empty nor "0".
+        operand: The string that `=` and `!=` compare the value with; None for the other operators.
+        regex: The pattern that the other operators match the value with; None for `=`, `!=` and "".
     """
 
     row: StepRow
@@ -224,7 +231,7 @@
 
 
 def compile_steps(rows: Sequence[StepRow], custom: frozenset[str]) -> tuple[Instruction, ...]:
-    """Compiles steps; `custom` are the variables that the file itself defines.
+    """Compiles steps; `custom` are the variables that the configuration file defines.
 
     Raises:
         RoutingTableError: A row cannot be used.
--- a/gladewalk/nginx/router.py
+++ b/gladewalk/nginx/router.py
@@ -1,8 +1,10 @@
-"""Routes requests by a compiled table, phase by phase as nginx goes through them.
+"""Routes requests by a compiled table, in the order of nginx's phases.
 
-The server by listen and host; the server's rewrites; the location; its rewrites, and back to the search as
-long as they change the URI, ten times at most; access; then a local response, or an upstream and its target.
-No I/O, nothing random: the same request lands at the same place.
+The router chooses the server by listen address and host, executes the server's rewrite directives, finds the
+location and executes the location's rewrite directives. While these change the URI, the location search is
+repeated, at most ten times. Then access is checked, and the result is a local response, or an upstream with
+the request target for it. Routing does no I/O and uses no randomness: it gives equal results for equal
+requests.
 """
 
 from __future__ import annotations
@@ -17,16 +19,16 @@
 from .uri import percent_encode
 from .variables import Request, RequestState
 
-Trace = list[str] | None  # where a line is added for each step of the way; None: nowhere
+Trace = list[str] | None  # the list that gets one line for each routing step; None disables tracing
 
 
 class Router:
-    """A compiled table.
+    """Routes requests by one compiled table.
 
     Attributes:
         site: The table.
-        upstreams: Its upstreams by name.
-        listeners: Its listeners by `HOST:PORT`.
+        upstreams: The table's upstreams by name.
+        listeners: The table's listeners by `HOST:PORT`.
     """
 
     def __init__(self, site: Site) -> None:
@@ -38,18 +40,18 @@
         self._computed = compiled.computed
 
     def server_of(self, listen: str, host: str) -> VirtualServer:
-        """Returns the server for a normalised host, by default that of the listen."""
+        """Returns the server for a normalised host, or the default server of the listen address."""
         listener = self.listeners[listen]
         assert listener.default_server is not None
         return listener.servers.find(host) or listener.default_server
 
     def route(self, listen: str, request: Request, trace: Trace = None) -> Landing:
-        """Returns where a request lands.
+        """Returns the upstream or the local response that a request is routed to.
 
         Args:
-            listen: One of `listeners`.
-            request: With a normalised host.
-            trace: Where a line is added for each step of the way.
+            listen: A key of `listeners`.
+            request: The request; its host must be normalised.
+            trace: Gets one line for each routing step.
         """
         server = self.server_of(listen, request.host)
         state = RequestState(
@@ -77,7 +79,7 @@
             return self._respond(landing, LocalResponse(500), trace, is_final=True)
 
     def _find_location(self, landing: Landing, trace: Trace) -> Landing:
-        """Searches the location and enters it, anew as long as its rewrites change the URI."""
+        """Finds the location and executes its phases, again after each rewrite that changes the URI."""
         state = landing.state
         while True:
             if trace is not None:
@@ -97,7 +99,7 @@
                 return landing
 
     def _enter_location(self, landing: Landing, location: Location, trace: Trace) -> bool:
-        """Goes through a location's phases; returns whether the location is to be searched anew."""
+        """Executes a location's phases; returns whether the location search must be repeated."""
         state, row, rules = landing.state, location.row, location.rules
         if _is_body_too_large(landing):
             self._respond(landing, LocalResponse(413), trace)
@@ -115,20 +117,23 @@
             self._respond(landing, LocalResponse(403), trace)
             return False
         if rules.fallback is not None:
-            return self._fall_back(landing, rules.fallback.render(state), trace)
+            return self._apply_fallback(landing, rules.fallback.render(state), trace)
         self._proxy(landing, row, rules, outcome.is_uri_final, trace)
         return False
 
     def _count_uri_change(self, landing: Landing, trace: Trace) -> bool:
-        """Counts a change of the URI; returns whether it is within the limit, else ends the request."""
+        """Counts a change of the URI; returns whether the limit allows it, else responds with 500."""
         landing.uri_changes_left -= 1
         if landing.uri_changes_left >= 0:
             return True
         self._respond(landing, LocalResponse(500), trace, is_final=True)
         return False
 
-    def _fall_back(self, landing: Landing, target: str, trace: Trace) -> bool:
-        """Follows the last target of `try_files`, an internal redirect or a status (ngx_http_core_module)."""
+    def _apply_fallback(self, landing: Landing, target: str, trace: Trace) -> bool:
+        """Applies the last argument of `try_files`: a status, a named location or a new URI.
+
+        Returns whether the location search must be repeated (ngx_http_core_module, "try_files").
+        """
         if trace is not None:
             trace.append(f"try_files -> {target}")
         if target.startswith("="):
@@ -138,12 +143,12 @@
             return False
         if target.startswith("@"):
             landing.state.is_internal = True
-            self._enter_named(landing, target, trace)
+            self._enter_named_location(landing, target, trace)
             return False
         landing.state.redirect_internally(target, keeps_args=True)
         return True
 
-    def _enter_named(self, landing: Landing, name: str, trace: Trace) -> Landing:
+    def _enter_named_location(self, landing: Landing, name: str, trace: Trace) -> Landing:
         location = landing.server.named_locations.get(name)
         if location is None:
             return self._respond(landing, LocalResponse(500), trace, is_final=True)
@@ -157,7 +162,9 @@
         state = landing.state
         name = rules.upstream.render(state)
         upstream = self.upstreams.get(name)
-        if upstream is None:  # a variable's value that no upstream has: nginx would look the name up
+        # The name is empty without `proxy_pass`. A variable's value that names no upstream gives 502 here, where
+        # nginx would resolve it by DNS.
+        if upstream is None:
             self._respond(landing, LocalResponse(502 if row.upstream else 404), trace)
             return
         state.proxy_host = name
@@ -171,7 +178,10 @@
     def _respond(
         self, landing: Landing, response: LocalResponse, trace: Trace, is_final: bool = False
     ) -> Landing:
-        """Ends with a local response, or by its `error_page` unless it has a text or `is_final`."""
+        """Ends routing with a local response, or applies the `error_page` of its status.
+
+        The `error_page` is ignored if the response has a text, is a redirect or is marked `is_final`.
+        """
         is_redirect = response.status in REDIRECT_STATUSES
         landing.upstream, landing.status, landing.text = "", response.status, response.text
         landing.redirect = redirect_location(landing, response.location) if is_redirect else ""
@@ -182,9 +192,10 @@
         return self.apply_error_page(landing, response.status, trace)
 
     def apply_error_page(self, landing: Landing, status: int, trace: Trace = None) -> Landing:
-        """Routes a request whose response has this status by `error_page`.
+        """Routes a request again by the `error_page` for the status of its response.
 
-        Without a page for the status, or the second time for a request, nothing changes.
+        Returns the landing unchanged if there is no page for the status, if an `error_page` was applied to
+        the request before, or if no URI changes are left.
         """
         page = _error_page(landing, status)
         if page is None or landing.is_from_error_page or landing.uri_changes_left <= 0:
@@ -205,7 +216,7 @@
         try:
             if target.startswith("@"):
                 state.is_internal = True
-                return self._enter_named(landing, target, trace)
+                return self._enter_named_location(landing, target, trace)
             if state.request.method != "HEAD":
                 state.request.method = "GET"
             state.redirect_internally(target)
@@ -216,7 +227,7 @@
 
 
 def _error_page(landing: Landing, status: int) -> ErrorPage | None:
-    """Returns the page of the location, whose pages replace those of the server."""
+    """Returns the page for a status; a location that has any pages replaces all pages of the server."""
     pages = landing.rules.error_pages if landing.rules is not None else {}
     return (pages or landing.server.error_pages).get(status)
 
@@ -227,7 +238,7 @@
 
 
 def _describe_upstream(upstream: UpstreamRow, target: str) -> list[str]:
-    """Returns the lines of a trace for an upstream and its servers."""
+    """Returns the trace lines for an upstream and its servers."""
     lines = [f"upstream {upstream.name}, asked for {target}  [{upstream.defined_at}]"]
     for server in upstream.servers:
         states = (("down", server.is_down), ("backup", server.is_backup))
