--- a/gladewalk/nginx/__init__.py
+++ b/gladewalk/nginx/__init__.py
@@ -1,6 +1,6 @@
-"""nginx's routing, imported and executed.
+"""Imports nginx's routing configuration and routes requests by it.
 
-`parser` and `translate` import a file to a `table`; `compiler` and `router` route requests by it; `explain`
-tells why a request lands where it does. Only `parser` and the loading of a table do I/O. What cannot be
-carried over faithfully is refused by file and line.
+`parser` and `translate` import a configuration file to a `table`; `compiler` and `router` route requests by
+the table; `explain` reports each routing step of a request. Only `parser` and the loading of a table do I/O.
+A directive that cannot be translated faithfully is refused with its file and line.
 """
--- a/gladewalk/nginx/compiler.py
+++ b/gladewalk/nginx/compiler.py
@@ -1,4 +1,4 @@
-"""Compiles a routing table into what the router searches: virtual servers, locations, computed variables."""
+"""Compiles a routing table to the virtual servers, locations and computed variables that the router uses."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     """A compiled server.
 
     Attributes:
-        locations: Those that are searched by URI.
-        named_locations: Those of `@name`.
-        primary_name: Its first name that is neither a regex nor a wildcard, or "".
+        locations: The locations that are searched by URI.
+        named_locations: The locations of the form `@name`, by name.
+        primary_name: The first server name that is neither a regex nor a wildcard, or "".
     """
 
     row: ServerRow
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Listener:
-    """The servers behind one `listen` of the file."""
+    """The servers of one listen address."""
 
     servers: HostNameMap[VirtualServer] = field(default_factory=HostNameMap)
     default_server: VirtualServer | None = None
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class CompiledSite:
-    """A compiled table: its listeners by `HOST:PORT`, and the variables of `map` and `split_clients`."""
+    """A compiled table: the listeners by `HOST:PORT`, and the variables of `map` and `split_clients`."""
 
     listeners: dict[str, Listener]
     computed: dict[str, ComputedVariable]
@@ -63,7 +63,7 @@
         return _SiteCompiler(site).compile()
     except RoutingTableError:
         raise
-    except ValueError as error:  # a row of a table that was edited by hand
+    except ValueError as error:  # an invalid value in a table that was edited by hand
         raise RoutingTableError(str(error)) from error
 
 
@@ -102,7 +102,7 @@
                 listener.servers.add(name, server)
 
     def _compile_locations(self, rows: Sequence[LocationRow], named: dict[str, Location]) -> LocationSet:
-        """Compiles the locations of one level; those with a name go to `named`."""
+        """Compiles the locations of one level; named locations are added to `named` instead."""
         locations = LocationSet()
         for row in rows:
             regex = Regex(row.pattern, row.modifier == "~*") if row.is_regex else None
@@ -145,7 +145,7 @@
 
 
 def custom_variables(site: Site) -> frozenset[str]:
-    """Returns the variables that the file itself defines: maps, splits, `set`, named groups of regexes.
+    """Returns the variables that the file defines by `map`, `split_clients`, `set` or a regex's named groups.
 
     Raises:
         RegexError: A regex does not compile.
@@ -178,7 +178,7 @@
 
 
 def _all_patterns(site: Site) -> Iterator[str]:
-    """Yields every regex of a site, without the sign for its case."""
+    """Yields every regex of a site, without the `~` or `~*` before it."""
     for step in _all_steps(site):
         yield step.regex
         if len(step.condition) > 2 and "~" in step.condition[1]:
--- a/gladewalk/nginx/context.py
+++ b/gladewalk/nginx/context.py
@@ -1,4 +1,4 @@
-"""What the translators of single blocks need of the translation as a whole."""
+"""The interface to the translation of a whole file that the translators of single blocks use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TranslationContext(Protocol):
-    """A translation of one file, as the translators of its blocks see it."""
+    """The translation of one file: its settings, the results so far, and the recording of refusals."""
 
     @property
     def allowed(self) -> frozenset[str]:
@@ -18,23 +18,23 @@
 
     @property
     def upstreams(self) -> dict[str, UpstreamRow]:
-        """The upstreams that are known so far, by name; literal addresses are added as they are met."""
+        """The upstreams so far, by name; each literal address in a `proxy_pass` is added as an upstream."""
 
     @property
     def choices(self) -> Mapping[str, list[str]]:
-        """All values that a variable can have, for those of which that is known."""
+        """All possible values of a variable, by its name, for the variables whose values are known."""
 
     def refuse(self, node: Node, why: str, name: str = "") -> None:
-        """Notes that a directive cannot be translated, or its loss if that is allowed.
+        """Records that a directive cannot be translated, as a loss if that is allowed, else as an error.
 
-        The loss is allowed under `name`, by default the directive's own.
+        The loss is allowed if `allowed` has `name`, by default the directive's name.
         """
 
     def note(self, node: Node, text: str) -> None:
-        """Notes what is done in another way than by nginx."""
+        """Records a difference between nginx's behaviour and the table's."""
 
     def guard(self, node: Node, translate: Callable[[Node], None]) -> None:
-        """Translates one directive; an error within it is noted as a refusal."""
+        """Translates one directive; an error that `translate` raises is recorded as a refusal."""
 
     def checked_template(self, text: str) -> str:
-        """Returns a string with variables as it is; raises `UnknownVariableError`."""
+        """Returns a string with variables unchanged; raises `UnknownVariableError` if it is invalid."""
--- a/gladewalk/nginx/directives.py
+++ b/gladewalk/nginx/directives.py
@@ -1,7 +1,8 @@
-"""What becomes of each of nginx's directives: carried over, immaterial to routing, or refused.
+"""The policy for each of nginx's directives: carried over, immaterial to routing, or refused.
 
-A directive that is not here is refused as unknown: nothing is dropped silently. The page of directives in the
-docs is generated from this table (`python -m gladewalk.nginx.directives`), and a test compares the two.
+A directive that is missing from the table is refused as unknown, so that none is dropped silently. The page
+of directives in the docs is generated from the table (`python -m gladewalk.nginx.directives`), and a test
+compares the two.
 """
 
 from __future__ import annotations
--- a/gladewalk/nginx/errors.py
+++ b/gladewalk/nginx/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the importer and the router of nginx's routing."""
+"""Exceptions of the importer of nginx's configuration and of its router."""
 
 from __future__ import annotations
 
@@ -6,48 +6,48 @@
 
 
 class NginxConfigError(GladewalkError):
-    """A configuration cannot be imported; one `file:line: directive: why` on each line of the text."""
+    """A configuration cannot be imported; each line of the text is `file:line: directive: why`."""
 
 
 class RoutingTableError(GladewalkError, ValueError):
-    """A value of a directive, or of a table's row, cannot be used; the text says why."""
+    """A value of a directive or of a table row is invalid; the text gives the reason."""
 
 
 class DirectiveValueError(RoutingTableError):
-    """A text is not a value of the form that its directive takes."""
+    """A value has a form that its directive does not accept."""
 
 
 class RegexError(RoutingTableError):
-    """A pattern does not compile; the text says why and where."""
+    """A pattern does not compile; the text gives the reason and the position."""
 
 
 class ServerNameError(RoutingTableError):
-    """A name cannot be a server's."""
+    """A text is not a valid server name."""
 
 
 class UnknownVariableError(RoutingTableError):
-    """A variable cannot be known here."""
+    """A variable is neither built in nor defined by the configuration file."""
 
 
 class DuplicateLocationError(RoutingTableError):
-    """Two locations beside one another have the same pattern."""
+    """Two locations of the same level have the same pattern."""
 
 
 class RewriteStepError(RoutingTableError):
-    """A step of the rewrite module is not one that can be executed here."""
+    """A table row names a step or condition operator that is not supported."""
 
 
 class MalformedRequestError(GladewalkError, ValueError):
-    """A request is answered 400 before any routing; the text says why."""
+    """A request is malformed and gets a 400 response before any routing; the text gives the reason."""
 
 
 class RequestTargetError(MalformedRequestError):
-    """A request target that nginx answers 400."""
+    """A request target is malformed; nginx responds to it with 400."""
 
 
 class HostError(MalformedRequestError):
-    """A Host field that names no host."""
+    """A Host field does not contain a valid host."""
 
 
 class MatchLimitError(GladewalkError):
-    """A regex match was abandoned at its limit: the request cannot be routed."""
+    """A regex match reached its limit and was aborted, so the request cannot be routed."""
--- a/gladewalk/nginx/explain.py
+++ b/gladewalk/nginx/explain.py
@@ -1,4 +1,4 @@
-"""Why a request lands where it does, and which requests would land elsewhere under another table."""
+"""Explains how a request is routed, and finds the requests that two tables route differently."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from .uri import parse_target
 from .variables import Request
 
-MAX_WORDS = 3  # of a line that names a request
+MAX_WORDS = 3  # the words of a request line: `[METHOD] [HOST] URI`
 
 
 @dataclass(slots=True, frozen=True)
 class RequestDescription:
-    """A request as an operator names it; `listen` "": the table's first."""
+    """A request as an operator describes it; an empty `listen` selects the table's first listen address."""
 
     uri: str
     host: str = ""
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MovedRequest:
-    """A request that would land elsewhere, with both landings in one line each."""
+    """A request that two tables route differently, with a description of its landing by each of them."""
 
     request: RequestDescription
     previous: str
@@ -43,7 +43,7 @@
 
 
 def load_site_or_import(path: str) -> Site:
-    """Loads a table (`.toml`), or imports nginx's own file; raises `ConfigError`."""
+    """Loads a table (a path ending in `.toml`) or imports an nginx configuration; raises `ConfigError`."""
     if path.endswith(".toml"):
         return load_site(Path(path))
     try:
@@ -53,40 +53,42 @@
 
 
 def _choose_listen(router: Router, wanted: str) -> str:
-    """Returns the listen that is named, or the first; raises `ConfigError`."""
+    """Returns the wanted listen address, by default the first; raises `ConfigError` for an unknown one."""
     if wanted and wanted not in router.listeners:
         raise ConfigError(f"listen: {wanted} is none of {', '.join(router.listeners)}")
     return wanted or next(iter(router.listeners))
 
 
-def route_request(router: Router, asked: RequestDescription, trace: list[str] | None = None) -> Landing:
+def route_request(router: Router, description: RequestDescription, trace: list[str] | None = None) -> Landing:
     """Routes one request.
 
     Raises:
-        ConfigError: It would be answered 400 before any routing, or its listen is unknown.
+        ConfigError: The request is malformed and would get a 400, or its listen address is unknown.
     """
-    listen = _choose_listen(router, asked.listen)
+    listen = _choose_listen(router, description.listen)
     port = int(listen.rpartition(":")[2])
     try:
-        host = normalise_optional_host(asked.host)
-        target = parse_target(asked.uri, router.server_of(listen, host).row.merge_slashes)
+        host = normalise_optional_host(description.host)
+        target = parse_target(description.uri, router.server_of(listen, host).row.merge_slashes)
     except (MalformedRequestError, UnicodeEncodeError) as error:
-        raise ConfigError(f"{asked.uri}: 400: {error}") from error
-    request = Request(asked.method, target, host, {"host": host}, asked.client_address, server_port=port)
+        raise ConfigError(f"{description.uri}: 400: {error}") from error
+    request = Request(
+        description.method, target, host, {"host": host}, description.client_address, server_port=port
+    )
     return router.route(listen, request, trace)
 
 
 def describe_landing(landing: Landing) -> str:
-    """Returns a landing in one line."""
+    """Returns a description of a landing in one line."""
     if landing.upstream:
         return f"upstream {landing.upstream} {landing.target}"
     return f"answer {landing.status} {landing.redirect or landing.text}".rstrip()
 
 
-def explain(router: Router, asked: RequestDescription) -> list[str]:
-    """Returns every step of a request's way, in order, and where it ends; raises `ConfigError`."""
-    trace = [str(asked)]
-    landing = route_request(router, asked, trace)
+def explain(router: Router, description: RequestDescription) -> list[str]:
+    """Returns one line for each routing step of a request, and one for its landing; raises `ConfigError`."""
+    trace = [str(description)]
+    landing = route_request(router, description, trace)
     row = landing.location_row
     where = f" by {row.directive}  [{row.defined_at}]" if row is not None else ""
     return [*trace, f"=> {describe_landing(landing)}{where}"]
@@ -95,27 +97,27 @@
 def moved_requests(
     previous: Router, current: Router, requests: Iterable[RequestDescription]
 ) -> list[MovedRequest]:
-    """Returns the requests that land elsewhere by `current`."""
+    """Returns the requests that `previous` and `current` route differently."""
     moved = []
-    for asked in requests:
-        before, after = _landing_or_error(previous, asked), _landing_or_error(current, asked)
+    for description in requests:
+        before, after = _landing_or_error(previous, description), _landing_or_error(current, description)
         if before != after:
-            moved.append(MovedRequest(asked, before, after))
+            moved.append(MovedRequest(description, before, after))
     return moved
 
 
-def _landing_or_error(router: Router, asked: RequestDescription) -> str:
+def _landing_or_error(router: Router, description: RequestDescription) -> str:
     try:
-        return describe_landing(route_request(router, asked))
+        return describe_landing(route_request(router, description))
     except ConfigError as error:
         return str(error)
 
 
 def parse_requests(lines: Iterable[str]) -> list[RequestDescription]:
-    """Parses lines of the form `[METHOD] [HOST] URI`; empty ones and comments are skipped.
+    """Parses lines of the form `[METHOD] [HOST] URI`; empty lines and lines that start with `#` are skipped.
 
     Raises:
-        ConfigError: A line is of another form.
+        ConfigError: A line has another form.
     """
     requests = []
     for number, line in enumerate(lines, 1):
--- a/gladewalk/nginx/hosts.py
+++ b/gladewalk/nginx/hosts.py
@@ -1,7 +1,7 @@
-"""Host names in nginx's order of precedence (ngx_http_core_module, `server_name`).
+"""Looks up host names in nginx's order of precedence (ngx_http_core_module, `server_name`).
 
-Exact, longest `*.name`, longest `name.*`, first regex. `.example.com` stands for `example.com` and
-`*.example.com`.
+The order is: the exact name, the longest wildcard `*.name`, the longest wildcard `name.*`, the first matching
+regex. `.example.com` is short for `example.com` and `*.example.com`.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 class HostNameMap(Generic[ValueT]):
-    """Values by host names and wildcards.
+    """A map with exact host names, wildcards and regexes as its keys.
 
-    A lookup takes time proportional to the name's labels; regexes are tried one by one.
+    A lookup by name or wildcard takes time proportional to the number of labels; regexes are tried in order.
     """
 
     def __init__(self) -> None:
         self._exact: dict[str, ValueT] = {}
-        self._leading_wildcards: dict[str, ValueT] = {}  # by what follows `*.`
-        self._trailing_wildcards: dict[str, ValueT] = {}  # by what stands before `.*`
+        self._leading_wildcards: dict[str, ValueT] = {}  # keys without the leading `*.`
+        self._trailing_wildcards: dict[str, ValueT] = {}  # keys without the trailing `.*`
         self._regexes: list[tuple[Regex, ValueT]] = []
 
     def add(self, name: str, value: ValueT) -> None:
-        """Adds a name, a wildcard or `~regex`; of two equal names the first stays.
+        """Adds a name, a wildcard or `~regex`; a name that was added before keeps its first value.
 
         Raises:
-            ServerNameError: The name has a wildcard elsewhere than at one end.
+            ServerNameError: The name has a `*` that is not a whole label at one end.
             RegexError: The regex does not compile.
         """
         if name.startswith("~"):
@@ -49,12 +49,12 @@
             self._exact.setdefault(_without_wildcard(lower), value)
 
     def find(self, name: str) -> ValueT | None:
-        """Returns the value for a host name, which is in lower case and without a port."""
+        """Returns the value for a host name; the name must be in lower case and without a port."""
         found = self.find_name(name)
         return found if found is not None else self.find_regex(name)[0]
 
     def find_name(self, name: str) -> ValueT | None:
-        """Returns the value for a host name by exact names and wildcards alone."""
+        """Returns the value for a host name by exact names and wildcards, without regexes."""
         if name in self._exact:
             return self._exact[name]
         labels = name.split(".")
@@ -69,7 +69,7 @@
         return None
 
     def find_regex(self, name: str) -> tuple[ValueT | None, dict[str, str]]:
-        """Returns the value of the first regex that matches, with its named groups."""
+        """Returns the value of the first regex that matches and the match's named groups."""
         for regex, value in self._regexes:
             matched = regex.match(name)
             if matched is not None:
@@ -84,7 +84,7 @@
 
 
 def normalise_host(raw: str) -> str:
-    """Returns a Host field in lower case, without its port and last dot; raises `HostError`."""
+    """Returns a Host field in lower case, without its port and trailing dots; raises `HostError`."""
     text = raw.strip()
     if not text or any(char in text for char in FORBIDDEN_IN_HOST) or ".." in text:
         raise HostError(f"no host: {raw!r}")
@@ -100,5 +100,5 @@
 
 
 def normalise_optional_host(raw: str) -> str:
-    """Returns a Host field as `normalise_host` does, and an empty one as it is."""
+    """Returns a Host field normalised by `normalise_host`, and "" for an empty field."""
     return normalise_host(raw) if raw else ""
--- a/gladewalk/nginx/landing.py
+++ b/gladewalk/nginx/landing.py
@@ -1,4 +1,4 @@
-"""Where a request lands, and what its upstream or its redirect is given then."""
+"""The result of routing a request: its landing, the upstream's request target, and the Location field."""
 
 from __future__ import annotations
 
@@ -11,26 +11,28 @@
 from .uri import UNSAFE_CHARS, percent_encode
 from .variables import RequestState
 
-MAX_URI_CHANGES = 10  # of one request (NGX_HTTP_MAX_URI_CHANGES)
+MAX_URI_CHANGES = 10  # per request (NGX_HTTP_MAX_URI_CHANGES)
 HTTP_PORT = 80
 HTTPS_PORT = 443
-CLOSE_CONNECTION = 444  # nginx's code for a close without a response
+CLOSE_CONNECTION = 444  # nginx's status for closing the connection without a response
 
 
 @dataclass(slots=True)
 class Landing:
-    """Where a request lands: an `upstream` that is asked for `target`, or a local response.
+    """The result of routing a request: an upstream with a request target, or a local response.
 
     Attributes:
         server: The virtual server.
-        state: The request after all rewrites.
-        location: The location; None if the server itself has answered or none was found.
-        status: Of the local response; `CLOSE_CONNECTION`: none is sent.
-        text: Its body.
-        redirect: Its Location field.
-        shown_status: What the client is told in place of the response's own status, set by `error_page`.
-        is_from_error_page: Whether an `error_page` has sent it here, which happens once.
-        uri_changes_left: Before the request ends with 500.
+        state: The state of the request after all rewrites.
+        location: The location; None if the server itself sends the response or no location was found.
+        upstream: The name of the upstream; "" for a local response.
+        target: The request target that is sent to the upstream.
+        status: The status of the local response; with `CLOSE_CONNECTION` no response is sent.
+        text: The body of the local response.
+        redirect: The Location field of the local response.
+        shown_status: The status that `error_page` sends to the client instead of the response's own status.
+        is_from_error_page: Whether an `error_page` was applied, which happens at most once for a request.
+        uri_changes_left: The URI changes that are still allowed; after them the request ends with 500.
     """
 
     server: VirtualServer
@@ -47,36 +49,37 @@
 
     @property
     def location_row(self) -> LocationRow | None:
-        """The row of the location."""
+        """The table row of the location."""
         return self.location.row if self.location is not None else None
 
     @property
     def rules(self) -> LocationRules | None:
-        """The rules of the location."""
+        """The compiled rules of the location."""
         return self.location.rules if self.location is not None else None
 
     @property
     def proxy(self) -> ProxySettings:
-        """The proxy settings of the location, nginx's defaults without one."""
+        """The proxy settings of the location; nginx's defaults without a location."""
         return self.location.row.proxy if self.location is not None else ProxySettings()
 
 
 def upstream_target(state: RequestState, row: LocationRow, rules: LocationRules, is_uri_final: bool) -> str:
-    """Returns the target for the upstream (`ngx_http_proxy_create_request`).
+    """Returns the request target for the upstream (`ngx_http_proxy_create_request`).
 
     Args:
-        state: The request.
-        row: The location's row.
-        rules: The location's rules.
-        is_uri_final: Whether a `rewrite ... break` has set the URI, which replaces all of it.
+        state: The state of the request.
+        row: The table row of the location.
+        rules: The compiled rules of the location.
+        is_uri_final: Whether a `rewrite ... break` set the URI, which then replaces the URI of `proxy_pass`.
     """
     args = f"?{state.args}" if state.args else ""
     if rules.uri is None or (not rules.uri.is_constant and rules.uri.text == ""):
         if state.is_uri_unchanged:
             return state.request.target.raw.partition("#")[0]
         return percent_encode(state.uri) + args
-    if not rules.uri.is_constant or not rules.upstream.is_constant:  # with variables it is sent as rendered
-        # A decoded line end, which nginx would write as it is, could smuggle a second request.
+    if not rules.uri.is_constant or not rules.upstream.is_constant:
+        # A URI of `proxy_pass` with variables replaces the request's URI as it is rendered. Unsafe characters
+        # are encoded, because a decoded line break, which nginx would send, could smuggle a second request.
         return percent_encode(rules.uri.render(state), UNSAFE_CHARS)
     must_encode = state.request.target.is_encoded or state.is_internal
     if is_uri_final:
@@ -86,7 +89,7 @@
 
 
 def redirect_location(landing: Landing, location: str) -> str:
-    """Returns a Location field: absolute, unless the file has `absolute_redirect off` or it already is."""
+    """Returns a Location field's value; a path becomes an absolute URL unless `absolute_redirect` is off."""
     row, request = landing.server.row, landing.state.request
     location = percent_encode(location, UNSAFE_CHARS)
     if not location.startswith("/") or not row.absolute_redirect:
--- a/gladewalk/nginx/maps.py
+++ b/gladewalk/nginx/maps.py
@@ -1,6 +1,6 @@
-"""The variables of `map` and `split_clients`, whose values other variables choose.
+"""Evaluates the variables of `map` and `split_clients`, whose values depend on other variables.
 
-nginx.org, ngx_http_map_module and ngx_http_split_clients_module.
+Source: nginx.org, ngx_http_map_module and ngx_http_split_clients_module.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 UINT32_MAX = 0xFFFFFFFF
 MURMUR2_MULTIPLIER = 0x5BD1E995
 MURMUR2_SHIFT = 24
-WHOLE_IN_HUNDREDTHS = 10_000  # of a per cent
-REST = 0  # the end of the range that `*` stands for
+WHOLE_IN_HUNDREDTHS = 10_000  # 100 %, in hundredths of a per cent
+REST = 0  # the range end that marks the part `*`, which takes the rest of the hash range
 
 
 class MapVariable:
-    """A variable of `map`: exact values in any case, or host names with wildcards; then regexes in order."""
+    """A variable of `map`: looks up exact values, ignoring case, or host names; then tries the regexes."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         regexes: tuple[tuple[Regex, Template], ...],
         default: Template,
     ) -> None:
-        """Takes the compiled rows; `host_names` replaces `exact` for a map with `hostnames`."""
+        """Creates the variable; a map with `hostnames` uses `host_names`, every other map uses `exact`."""
         self._source, self._exact, self._host_names = source, exact, host_names
         self._regexes, self._default = regexes, default
 
@@ -54,10 +54,13 @@
 
 
 class SplitVariable:
-    """A variable of `split_clients`: parts of a 32-bit hash's range, in order; a gap gives an empty value."""
+    """A variable of `split_clients`: the part of the hash range that a 32-bit hash is in gives the value.
+
+    The value is empty for a hash that is in none of the parts.
+    """
 
     def __init__(self, source: Template, parts: tuple[tuple[int, Template], ...]) -> None:
-        """Takes the parts as the exclusive end of each range, or `REST`, with its value."""
+        """Creates the variable from its parts: the exclusive end of each range, or `REST`, and the value."""
         self._source, self._parts = source, parts
 
     def value(self, state: RequestState) -> str:
@@ -70,7 +73,7 @@
 
 
 def split_range_ends(hundredths: Sequence[int | None]) -> list[int]:
-    """Returns the ends of the hash ranges for parts in hundredths of a per cent; None stands for the rest."""
+    """Returns the ends of the hash ranges for parts in hundredths of a per cent; None is the rest (`*`)."""
     total, ends = 0, []
     for part in hundredths:
         if part is None:
@@ -82,7 +85,7 @@
 
 
 def murmur2(data: bytes) -> int:
-    """Returns the 32-bit MurmurHash2 with the length as its seed, as `split_clients` hashes."""
+    """Returns the 32-bit MurmurHash2 with the length as its seed, the hash that `split_clients` uses."""
     hashed = len(data) & UINT32_MAX
     aligned_length = len(data) - len(data) % 4
     for position in range(0, aligned_length, 4):
--- a/gladewalk/nginx/parser.py
+++ b/gladewalk/nginx/parser.py
@@ -1,4 +1,4 @@
-"""Parses a configuration and what it includes to a tree of directives with file and line (crossplane)."""
+"""Parses a configuration and its includes to a tree of directives with file and line, using crossplane."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """One directive; `block` is None where it ends with `;`."""
+    """One directive; `block` has the directives between its braces, and is None if it ends with `;`."""
 
     name: str
     args: tuple[str, ...]
@@ -23,12 +23,12 @@
 
     @property
     def location(self) -> str:
-        """Where it is written, `file:line`."""
+        """The place of the directive, `file:line`."""
         return f"{self.file}:{self.line}"
 
     @property
     def children(self) -> tuple[Node, ...]:
-        """The directives of its block, none without one."""
+        """The directives of the block; empty without a block."""
         return self.block or ()
 
     def __str__(self) -> str:
@@ -36,10 +36,10 @@
 
 
 def parse_file(path: str) -> tuple[Node, ...]:
-    """Parses a file with all that it includes to one tree.
+    """Parses a file and all files that it includes to one tree.
 
     Raises:
-        NginxConfigError: A file cannot be read or its syntax is wrong; names every fault.
+        NginxConfigError: A file cannot be read or has a syntax error; the text lists every error.
     """
     try:
         parsed = crossplane.parse(path, combine=True, check_ctx=False, check_args=False, strict=False)
@@ -49,11 +49,11 @@
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or str(error)
         raise NginxConfigError(f"{path}:1: file: {reason}") from error
-    faults = [_describe_fault(fault) for fault in parsed["errors"]]
+    problems = [_describe_error(parser_error) for parser_error in parsed["errors"]]
     for file in files:
-        faults += _missing_semicolons(file)
-    if faults:
-        raise NginxConfigError("\n".join(dict.fromkeys(faults)))
+        problems += _missing_semicolons(file)
+    if problems:
+        raise NginxConfigError("\n".join(dict.fromkeys(problems)))
     return tuple(
         _build_node(raw) for config in parsed["config"] for raw in config["parsed"] if not _is_comment(raw)
     )
@@ -69,19 +69,19 @@
     return Node(raw["directive"], tuple(raw["args"]), raw["file"], raw["line"], nodes)
 
 
-def _describe_fault(fault: dict[str, Any]) -> str:
-    """Returns the parser's message with file and line in front of it."""
-    line = fault.get("line") or 1
-    reason = str(fault["error"]).removesuffix(f" in {fault['file']}:{fault.get('line')}")
-    return f"{fault['file']}:{line}: syntax: {reason}"
+def _describe_error(parser_error: dict[str, Any]) -> str:
+    """Returns an error of the parser as `file:line: syntax: message`."""
+    line = parser_error.get("line") or 1
+    reason = str(parser_error["error"]).removesuffix(f" in {parser_error['file']}:{parser_error.get('line')}")
+    return f"{parser_error['file']}:{line}: syntax: {reason}"
 
 
 def _missing_semicolons(path: str) -> list[str]:
-    """Returns a fault for each directive that a `}` ends.
+    """Returns an error for each directive that is ended by `}` instead of `;`.
 
-    The parser accepts that where it does not know the block around.
+    The parser does not report these within a block that it does not know.
     """
-    faults: list[str] = []
+    problems: list[str] = []
     first: tuple[str, int] | None = None
     with contextlib.suppress(crossplane.errors.NgxParserSyntaxError, OSError, UnicodeDecodeError):
         for token, line, is_quoted in crossplane.lex(path):
@@ -89,6 +89,6 @@
                 first = first or (token, line)
                 continue
             if token == "}" and first is not None:
-                faults.append(f"{path}:{first[1]}: {first[0]}: not ended by ';'")
+                problems.append(f"{path}:{first[1]}: {first[0]}: not ended by ';'")
             first = None
-    return faults
+    return problems
--- a/gladewalk/nginx/router.py
+++ b/gladewalk/nginx/router.py
@@ -162,7 +162,7 @@
         state = landing.state
         name = rules.upstream.render(state)
         upstream = self.upstreams.get(name)
-        # The name is empty without `proxy_pass`. A variable's value that names no upstream gives 502 here, where
+        # The name is empty without `proxy_pass`. A variable's value that names no upstream gives 502 here;
         # nginx would resolve it by DNS.
         if upstream is None:
             self._respond(landing, LocalResponse(502 if row.upstream else 404), trace)
