--- a/gladewalk/nginx/directive_groups.py
+++ b/gladewalk/nginx/directive_groups.py
@@ -1,4 +1,4 @@
-"""The table of nginx's directives: which are carried over, immaterial to routing, or refused, and why."""
+"""The table of nginx's directives: how the importer handles each of them, and the reason."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Handling(Enum):
-    """What the importer does with a directive; the value is the page's word for it."""
+    """How the importer handles a directive; the value is the text in the page of directives."""
 
     TRANSLATED = "carried over"
     IGNORED = "immaterial"
@@ -16,11 +16,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DirectivePolicy:
-    """How one directive is handled.
+    """The importer's policy for one directive.
 
     Attributes:
-        note: Why, or how.
-        may_be_allowed: Whether the operator may accept its loss by `--allow`.
+        handling: Whether the directive is carried over, ignored or refused.
+        note: The reason, or how the directive is carried over.
+        may_be_allowed: Whether the operator may accept the directive's loss by `--allow`.
     """
 
     handling: Handling
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DirectiveGroup:
-    """Directives with the same policy: a row of the page; `names` are separated by blanks."""
+    """Directives with the same policy, which are one row of the page; `names` are separated by blanks."""
 
     handling: Handling
     note: str
--- a/gladewalk/nginx/location_search.py
+++ b/gladewalk/nginx/location_search.py
@@ -92,8 +92,8 @@
     def longest_prefix(self, uri: str) -> Location | None:
         """Returns the location with the longest prefix that matches the URI.
 
-        The search starts at the last prefix that sorts at or before the URI. If the URI does not start with
-        that prefix, the result is the longest of the prefix's own shorter prefixes that matches.
+        The search starts at the last prefix in sort order that is not greater than the URI. If the URI does
+        not start with it, the next shorter prefix of that prefix is tried, and so on.
         """
         index = bisect_right(self._sorted_prefixes, uri)
         prefix = self._sorted_prefixes[index - 1] if index else None
--- a/gladewalk/nginx/proxy_settings.py
+++ b/gladewalk/nginx/proxy_settings.py
@@ -19,13 +19,12 @@
     "http_404", "http_429", "non_idempotent",
 })  # fmt: skip
 STALE_CONDITIONS = (RETRY_CONDITIONS - {"non_idempotent"}) | {"updating"}
-HIDDEN_FIELDS = (  # nginx's own (proxy_hide_header)
+HIDDEN_FIELDS = (  # the response fields that nginx hides by default (proxy_hide_header)
     "date", "server", "x-pad", "x-accel-expires", "x-accel-redirect", "x-accel-limit-rate",
     "x-accel-buffering", "x-accel-charset",
 )  # fmt: skip
-DEFAULT_FIELDS = (
-    ("Host", "$proxy_host"),
-)  # nginx's other one is `Connection: close`, which the pool decides
+# nginx also sends `Connection: close` by default; here the connection pool decides on that field.
+DEFAULT_FIELDS = (("Host", "$proxy_host"),)
 CONNECTION_FIELDS = frozenset({"connection", "upgrade", "transfer-encoding", "content-length", "te"})
 STATUS_DIGITS = 3
 SINGLE_VALUES: tuple[tuple[str, str, Callable[[str], object]], ...] = (
@@ -41,7 +40,7 @@
 
 
 def translate_proxy_settings(scope: Scope) -> ProxySettings:
-    """Translates the proxy directives in force."""
+    """Translates the proxy directives that are in force in a scope."""
     values: dict[str, Any] = {}
     for directive, name, parse in SINGLE_VALUES:
         if node := scope.last(directive):
@@ -64,7 +63,7 @@
 
 
 def _freshness_lifetime_ms(scope: Scope) -> float | None:
-    """Returns the first `proxy_cache_valid` that holds for a 200; the others are checked as well."""
+    """Returns the time of the first `proxy_cache_valid` that applies to a 200; checks the others too."""
     lifetime_ms = None
     for node in scope.all("proxy_cache_valid"):
         *statuses, duration = node.args or ("",)
@@ -72,8 +71,8 @@
             duration_ms = parse_duration_ms(duration)
         except DirectiveValueError as error:
             raise DirectiveRefusedError(node, str(error)) from error
-        holds_for_200 = not statuses or "200" in statuses or "any" in statuses
-        if holds_for_200 and lifetime_ms is None:
+        applies_to_200 = not statuses or "200" in statuses or "any" in statuses
+        if applies_to_200 and lifetime_ms is None:
             lifetime_ms = duration_ms
     return lifetime_ms
 
@@ -90,9 +89,9 @@
 
 
 def _set_fields(scope: Scope) -> list[list[str]]:
-    """Returns the fields to send, in order; nginx's own `Host` where the file sets none.
+    """Returns the fields to send, in order, with nginx's default `Host` if the file sets none.
 
-    A field with an empty value is not sent.
+    A field with an empty value is part of the result, and is not sent to the upstream.
     """
     fields = []
     for node in scope.all("proxy_set_header"):
@@ -119,7 +118,7 @@
 
 
 def translate_added_fields(scope: Scope) -> list[list[str]]:
-    """Translates `add_header` to rows of name, value and `always` or ""."""
+    """Translates `add_header` to rows that are a name, a value, and `always` or ""."""
     fields = []
     for node in scope.all("add_header"):
         if len(node.args) not in (2, 3) or node.args[2:] not in ((), ("always",)):
@@ -130,7 +129,7 @@
 
 
 def check_satisfy(node: Node) -> None:
-    """Refuses `satisfy any`."""
+    """Refuses `satisfy any`; only `satisfy all` is supported."""
     if node.args != ("all",):
         raise DirectiveRefusedError(node, "`any` would let in by an address whom nginx asks for more")
 
--- a/gladewalk/nginx/regexes.py
+++ b/gladewalk/nginx/regexes.py
@@ -1,8 +1,9 @@
-"""PCRE, the syntax and the engine that nginx itself uses (PCRE2), with a bound on the work of one match.
+"""Regexes by PCRE2, the engine that nginx uses, with a limit on the steps of one match.
 
-Alternatives considered: `re2` is linear in time but knows no look-around or back-references, so it would
-refuse files that nginx takes; `regex` has a time-out by the clock, which gives another verdict on a busy
-machine; `re` does not parse `(?<name>...)`. PCRE2's match limit counts steps, not time.
+Alternatives considered: `re2` takes linear time but supports neither look-around nor back-references, so it
+would refuse configurations that nginx accepts. `regex` has a time-out in wall-clock time, so that the result
+of a match could depend on the load of the machine. `re` does not parse `(?<name>...)`. PCRE2's match limit
+counts steps instead of time.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 
 from .errors import MatchLimitError, RegexError
 
-MAX_MATCH_STEPS = 20_000  # of backtracking in one match: some 0.2 ms; nginx's own limit is ten million
+MAX_MATCH_STEPS = 20_000  # backtracking steps of one match, about 0.2 ms; nginx's limit is ten million
 MAX_MATCH_DEPTH = 2_000
 MAX_PATTERN_BYTES = 4_096
 LIMITS = f"(*LIMIT_MATCH={MAX_MATCH_STEPS})(*LIMIT_DEPTH={MAX_MATCH_DEPTH})".encode()
 
 
 class RegexMatch(NamedTuple):
-    """A match; groups that took no part are empty.
+    """A match; a group that did not take part in the match is "".
 
     Attributes:
         groups: The whole match, then the groups by number.
-        names: The named groups.
+        names: The text of each named group, by its name.
     """
 
     groups: tuple[str, ...]
@@ -32,12 +33,12 @@
 
 
 class Regex:
-    """A compiled pattern over texts in latin-1, which stand for bytes.
+    """A compiled pattern; matches texts whose characters each represent one byte (latin-1).
 
     Attributes:
-        pattern: The pattern as it is written.
-        is_case_insensitive: Whether letters match in either case.
-        names: Of its named groups.
+        pattern: The pattern as it is written in the file.
+        is_case_insensitive: Whether the case of letters is ignored.
+        names: The names of the pattern's named groups.
     """
 
     __slots__ = ("_program", "is_case_insensitive", "names", "pattern")
@@ -45,7 +46,8 @@
     def __init__(self, pattern: str, is_case_insensitive: bool = False) -> None:
         """Compiles a pattern; raises `RegexError`."""
         self.pattern, self.is_case_insensitive = pattern, is_case_insensitive
-        # As UTF-8, which is how it stands in the file; a request's bytes stand in its text as latin-1.
+        # The pattern is encoded as UTF-8, as in the file. A request's text is latin-1, one character a byte.
+        # So the bytes of the file are matched with the bytes that were received.
         data = pattern.encode("utf-8", "surrogateescape")
         if len(data) > MAX_PATTERN_BYTES:
             raise RegexError(f"a regex of more than {MAX_PATTERN_BYTES} bytes")
@@ -60,10 +62,10 @@
         self.names = tuple(self._program.groupindex)
 
     def match(self, text: str) -> RegexMatch | None:
-        """Searches a text for the pattern; None if it is not found.
+        """Searches a text for the pattern; returns None if it is not found.
 
         Raises:
-            MatchLimitError: The search was abandoned at its limit.
+            MatchLimitError: The search reached a limit and was aborted.
         """
         try:
             found = self._program.search(text.encode("latin-1", "replace"))
--- a/gladewalk/nginx/scope.py
+++ b/gladewalk/nginx/scope.py
@@ -1,4 +1,4 @@
-"""The directives in force at a place of the file, with nginx's inheritance; reading one directive's value."""
+"""The directives in force in a block, by nginx's inheritance, and the parsing of a directive's argument."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .parser import Node
 
 ValueT = TypeVar("ValueT")
-# Directives that replace one another when an inner level has one of them.
+# Directives that are inherited as one group: an inner level with one of them replaces the whole outer group.
 INHERITANCE_GROUPS = {"allow": "access", "deny": "access", "proxy_pass_header": "proxy_hide_header"}
 ACCESS_GROUP = "access"
 
 
 class DirectiveRefusedError(GladewalkError):
-    """A directive cannot be translated; the text says why.
+    """A directive cannot be translated; the text gives the reason.
 
     Attributes:
         node: The directive.
@@ -30,15 +30,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Scope:
-    """The directives in force at a place, by name or inheritance group.
+    """The directives in force in a block, by name or inheritance group.
 
-    What a level has of its own replaces all that an outer one has, lists too.
+    If a block has directives of a name or group, they replace all directives of that name or group of the
+    outer blocks; lists are not merged.
     """
 
     _directives: dict[str, list[Node]] = field(default_factory=dict)
 
     def enter(self, block: Iterable[Node]) -> Scope:
-        """Returns the scope within a block."""
+        """Returns the scope of a block inside this scope."""
         own: dict[str, list[Node]] = {}
         for node in block:
             own.setdefault(INHERITANCE_GROUPS.get(node.name, node.name), []).append(node)
@@ -49,7 +50,7 @@
         return self._directives.get(name, [])
 
     def last(self, name: str) -> Node | None:
-        """Returns the last directive of a name or group."""
+        """Returns the last directive of a name or group, or None."""
         return self.all(name)[-1] if self.all(name) else None
 
 
--- a/gladewalk/nginx/servers.py
+++ b/gladewalk/nginx/servers.py
@@ -27,19 +27,19 @@
 
 
 class ServerTranslator:
-    """Translates the servers of a file, one after the other."""
+    """Translates the `server` blocks of a file."""
 
     def __init__(self, context: TranslationContext) -> None:
         self._context = context
         self._locations = LocationTranslator(context)
 
     def translate(self, node: Node, outer: Scope, previous: Sequence[ServerRow]) -> ServerRow:
-        """Translates a server; refusals are noted.
+        """Translates a server; refused directives are recorded in the context.
 
         Args:
-            node: The block.
-            outer: The directives in force around it.
-            previous: The servers before it, for the check that a listen has one default server.
+            node: The `server` block.
+            outer: The directives in force outside the block.
+            previous: The earlier servers of the file; a listen address may have only one default server.
         """
         scope = outer.enter(node.children)
         listens, names = self._translate_listens(node), self._translate_names(node)
@@ -103,7 +103,7 @@
         return names
 
     def _translate_flag(self, scope: Scope, directive: str, default: bool) -> bool:
-        """Returns a flag in force; one that cannot be read is noted as a refusal."""
+        """Returns the value of a flag in force; an invalid value is recorded as a refusal."""
         flags = [default]
         if node := scope.last(directive):
             self._context.guard(node, lambda each: flags.append(parse_argument(each, parse_flag)))
@@ -112,7 +112,7 @@
     def _check_default_servers(
         self, node: Node, listens: Sequence[ListenRow], previous: Sequence[ServerRow]
     ) -> None:
-        """Refuses a second default server of a listen, as nginx does."""
+        """Refuses a second default server for a listen address, as nginx does."""
         defaults = {listen.address for server in previous for listen in server.listens if listen.is_default}
         for listen in listens:
             if listen.is_default and listen.address in defaults:
@@ -120,7 +120,7 @@
 
 
 def _add_name(node: Node, names: list[str], name: str) -> None:
-    """Adds a server's name; raises `DirectiveRefusedError` or `RoutingTableError` for one that cannot be."""
+    """Adds a server name; raises `DirectiveRefusedError` or `RoutingTableError` for an invalid one."""
     if "$" in name and not name.startswith("~"):
         raise DirectiveRefusedError(node, f"'{name}': which name that is can't be known here")
     checked: HostNameMap[None] = HostNameMap()
--- a/gladewalk/nginx/steps.py
+++ b/gladewalk/nginx/steps.py
@@ -1,4 +1,4 @@
-"""Translates the directives of the rewrite module (ngx_http_rewrite_module) to steps."""
+"""Translates the directives of the rewrite module (ngx_http_rewrite_module) to rows of steps."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 REWRITE_FLAGS = ("last", "break", "redirect", "permanent")
 VARIABLE_NAME = re.compile(r"\$[A-Za-z_][A-Za-z0-9_]*")
 DEFAULT_REDIRECT_STATUS = 302
-# Forms of regexes that match every URI, and every rest of a URI behind the location's own pattern.
+# Regexes that match every URI, and regexes that match everything that can follow the location's pattern.
 MATCH_ALL = ("^", ".*", "^.*", "^.*$", "^(.*)$", "(.*)", "^/", "/", "^/(.*)$", "^/(.*)", "^(.*)")
 MATCH_ALL_RESTS = ("", "(.*)", "(.*)$", ".*", ".*$", "/?(.*)", "/?(.*)$")
 
 
 def translate_steps(block: Iterable[Node], context: TranslationContext) -> list[StepRow]:
-    """Translates a block's directives of the rewrite module, in order; refusals are noted in `context`."""
+    """Translates a block's rewrite directives, in order; refused ones are recorded in `context`."""
     steps: list[StepRow] = []
     for node in block:
         if node.name in STEP_DIRECTIVES:
@@ -115,9 +115,9 @@
 
 
 def ends_every_request(steps: Iterable[StepRow], modifier: str, pattern: str) -> bool:
-    """Returns whether the steps let no request of a location through to files.
+    """Returns whether the steps end or rewrite every request, so that none would be served from files.
 
-    That is a `return`, or a `rewrite` of every URI.
+    This is so with a `return`, and with a `rewrite` without `break` whose regex matches every URI.
     """
     return any(
         step.op == "return"
@@ -127,7 +127,10 @@
 
 
 def _matches_all(regex: str, modifier: str, pattern: str) -> bool:
-    """Returns whether a regex surely matches every URI of a location, told by its form alone."""
+    """Returns whether a regex is one of the known forms that match every URI of a location.
+
+    A regex of another form may match every URI too.
+    """
     if regex in MATCH_ALL:
         return True
     if modifier not in ("", "^~", "="):
--- a/gladewalk/nginx/table.py
+++ b/gladewalk/nginx/table.py
@@ -1,8 +1,8 @@
-"""The routing table: what an import results in, as a TOML file, and what the router compiles.
+"""The routing table, which the importer writes as a TOML file and the router compiles.
 
-Every row is as effective at its place, with nginx's inheritance already resolved; `defined_at` is the
-`file:line` where it was written. Reading a table that was written gives the same table. Fields whose key in
-the file differs from their name here have it in `rename`; the order of fields is that of the file.
+Each row has its effective values: nginx's inheritance is already resolved. `defined_at` is the `file:line` of
+the directive. A table that is written and read again is equal to the original. `rename` gives the key of a
+field in the TOML file where it differs from the field's name; the order of fields is the order in the file.
 """
 
 from __future__ import annotations
@@ -37,12 +37,13 @@
 
     Attributes:
         address: `HOST:PORT`, a literal address.
-        weight: Its share of the hash.
-        max_conns: Requests in flight; 0: no bound.
-        max_fails: Failures within `fail_timeout_ms` that make it unavailable for as long; 0: never.
-        slow_start_ms: As the file has it; the core's own slow start takes its place.
-        is_backup: Used only while no other server is available.
-        is_down: Never used.
+        weight: The server's weight in the hash over the upstream's servers.
+        max_conns: The limit of requests in flight; 0 means no limit.
+        max_fails: The number of failures within `fail_timeout_ms` after which the server is unavailable for
+            `fail_timeout_ms`; 0 disables this.
+        slow_start_ms: The value in the file; the director's own slow start is used instead of it.
+        is_backup: Whether the server is used only while no other server is available.
+        is_down: Whether the server is never used.
     """
 
     address: str
@@ -57,7 +58,7 @@
 
 
 class UpstreamRow(Row, frozen=True, rename={"defined_at": "at", "servers": "boxes", "balancing": "balance"}):
-    """An upstream; `balancing` is as the file has it, the core's hash takes its place."""
+    """An upstream; `balancing` is the method in the file; the director's hash is used instead of it."""
 
     name: str
     defined_at: str
@@ -77,10 +78,10 @@
         "steps": "then",
     },
 ):
-    """One of `rewrite`, `return`, `set`, `break` and `if`, in the order of the file.
+    """A `rewrite`, `return`, `set`, `break` or `if` directive; `op` has its name.
 
-    rewrite: `regex`, `value`, `flag`. return: `status`, `value`. set: `variable`, `value`. if: `condition`
-    and the `steps` within.
+    The fields in use are `regex`, `value` and `flag` for rewrite, `status` and `value` for return, `variable`
+    and `value` for set, `condition` and the nested `steps` for if.
     """
 
     op: str
@@ -95,7 +96,7 @@
 
 
 class AccessRow(Row, frozen=True, rename={"is_allowed": "allow"}):
-    """One of `allow` and `deny`; `network` may be `all`."""
+    """An `allow` or `deny` directive; `network` may be `all`."""
 
     is_allowed: bool
     network: str
@@ -104,7 +105,10 @@
 class ErrorPageRow(
     Row, frozen=True, rename={"statuses": "codes", "target": "to", "response_status": "status"}
 ):
-    """An `error_page`; `response_status` None: the status stays; 0: as the target answers."""
+    """An `error_page`.
+
+    A `response_status` of None keeps the original status, and 0 uses the status of the target's response.
+    """
 
     statuses: list[int]
     target: str
@@ -128,24 +132,24 @@
         "max_body_bytes": "body_most",
     },
 ):
-    """How a request is proxied, with nginx's defaults.
+    """The settings by which a request is proxied, with nginx's defaults.
 
     Attributes:
         connect_timeout_ms: `proxy_connect_timeout`.
-        read_timeout_ms: `proxy_read_timeout`, between two reads.
+        read_timeout_ms: `proxy_read_timeout`, the time between two reads.
         send_timeout_ms: `proxy_send_timeout`.
-        retry_on: `proxy_next_upstream`, its conditions.
-        max_attempts: `proxy_next_upstream_tries`; 0: no bound.
-        retry_timeout_ms: `proxy_next_upstream_timeout`; 0: no bound.
-        freshness_lifetime_ms: `proxy_cache_valid` of a 200.
-        use_stale_on: `proxy_cache_use_stale`, its conditions.
+        retry_on: The conditions of `proxy_next_upstream`.
+        max_attempts: `proxy_next_upstream_tries`; 0 means no limit.
+        retry_timeout_ms: `proxy_next_upstream_timeout`; 0 means no limit.
+        freshness_lifetime_ms: The time of `proxy_cache_valid` for a 200.
+        use_stale_on: The conditions of `proxy_cache_use_stale`.
         joins_fills: `proxy_cache_lock`.
         cache_key: `proxy_cache_key`.
-        max_body_bytes: `client_max_body_size`; 0: no bound.
-        set_fields: `proxy_set_header`, pairs of name and value; empty: nginx's own two.
-        hide_fields: Names in lower case of fields that stay here.
-        add_fields: `add_header`: name, value, `always` or "".
-        redirect: `proxy_redirect`, `default` or `off`.
+        max_body_bytes: `client_max_body_size`; 0 means no limit.
+        set_fields: `proxy_set_header`, as pairs of name and value; empty for nginx's two default fields.
+        hide_fields: The names of response fields that are not sent to the client, in lower case.
+        add_fields: `add_header`, as rows of a name, a value, and `always` or "".
+        redirect: `proxy_redirect`, either `default` or `off`.
     """
 
     connect_timeout_ms: float = 60_000.0
@@ -183,11 +187,11 @@
 
     Attributes:
         modifier: "" for a prefix, "=", "^~", "~", "~*", or "@" for a named one.
-        upstream: A name, or a string with variables; empty: nothing is proxied.
-        uri: That of `proxy_pass`; None: the request's own.
-        excepted_methods: Of `limit_except`: the methods that `excepted_access` does not hold for.
-        fallback: The last of an accepted `try_files`, whose files are taken not to exist.
-        locations: Those nested in it.
+        upstream: The name of the upstream, or a string with variables; "" if the location does not proxy.
+        uri: The URI of `proxy_pass`; None to send the request's URI.
+        excepted_methods: The methods of `limit_except`; `excepted_access` applies to all other methods.
+        fallback: The last argument of an allowed `try_files`, whose files are assumed not to exist.
+        locations: The nested locations.
     """
 
     defined_at: str
@@ -212,17 +216,17 @@
 
     @property
     def is_named(self) -> bool:
-        """Whether requests come here by its name alone."""
+        """Whether the location is a named one (`@name`), which is never searched by URI."""
         return self.modifier == "@"
 
     @property
     def directive(self) -> str:
-        """The directive as it stands in the file."""
+        """The `location` directive with its modifier and pattern, as it is printed in traces."""
         return f"location {self.modifier} {self.pattern}".replace("  ", " ").replace("@ @", "@")
 
 
 class ListenRow(Row, frozen=True, rename={"is_default": "default"}):
-    """A `listen`; the address is `HOST:PORT`, with `*` for all hosts."""
+    """A `listen` directive; the address is `HOST:PORT`, with `*` as the host for all addresses."""
 
     address: str
     is_default: bool = False
@@ -247,7 +251,7 @@
 
 
 class MapRow(Row, frozen=True, rename={"defined_at": "at"}):
-    """A `map`; `entries` are pairs of value and result."""
+    """A `map`; `entries` are pairs of a source value, wildcard or regex and the resulting value."""
 
     name: str
     source: str
@@ -258,7 +262,7 @@
 
 
 class SplitRow(Row, frozen=True, rename={"defined_at": "at"}):
-    """A `split_clients`; `parts` are pairs of hundredths of a per cent, or `*`, and the result."""
+    """A `split_clients`; `parts` are pairs of a share in hundredths of a per cent, or `*`, and the value."""
 
     name: str
     source: str
@@ -270,8 +274,9 @@
     """The whole table.
 
     Attributes:
-        losses: What the operator accepted to lose by `--allow`.
-        notes: What is done in another way than by nginx.
+        version: The version of the table's format.
+        losses: The directives that were dropped because the operator accepted their loss by `--allow`.
+        notes: The differences between nginx's behaviour and the table's.
     """
 
     version: int = VERSION
@@ -289,7 +294,7 @@
 
 
 def _without_nulls(table: dict[str, object]) -> dict[str, object]:
-    """Returns a copy without nulls, which TOML does not have: they are defaults."""
+    """Returns a copy without null values, which TOML cannot represent; reading gives them as defaults."""
 
     def copy(value: object) -> object:
         if isinstance(value, dict):
@@ -300,10 +305,10 @@
 
 
 def read_site(text: str, path: str = "the table") -> Site:
-    """Reads a table that was written.
+    """Reads a table from its TOML text.
 
     Raises:
-        ConfigError: The text is no table of this version; one line that begins with `path`.
+        ConfigError: The text is not a table of this version; the message is one line that starts with `path`.
     """
     site = parse_toml(text, Site, path)
     if site.version != VERSION:
@@ -312,7 +317,7 @@
 
 
 def load_site(path: Path) -> Site:
-    """Reads the table of a file; raises `ConfigError`."""
+    """Reads a table from a file; raises `ConfigError`."""
     try:
         return read_site(path.read_text(encoding="utf-8"), str(path))
     except OSError as error:
--- a/gladewalk/nginx/translate.py
+++ b/gladewalk/nginx/translate.py
@@ -1,7 +1,7 @@
 """Translates nginx's configuration to a routing table: each directive is carried over, ignored or refused.
 
-`SiteTranslator` walks the contexts as nginx does; the translators of single blocks see it as a
-`TranslationContext`.
+`SiteTranslator` walks the blocks of the file; it is the `TranslationContext` of the translators of single
+blocks.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from .variables import parse_template
 
 NAMED_GROUP = re.compile(r"\(\?P?[<']([A-Za-z_][A-Za-z0-9_]*)[>']")
-VARIABLE_BLOCKS = ("map", "split_clients")  # what stands in them is no directive
+VARIABLE_BLOCKS = ("map", "split_clients")  # these blocks contain entries instead of directives
 REWRITE_CONTEXTS = ("server", "location", "if")
 CONTEXTS = {
     "http": ("main",),
@@ -47,12 +47,12 @@
 
 
 class SiteTranslator:
-    """Translates one file; the `TranslationContext` of its blocks.
+    """Translates one file; implements `TranslationContext` for the translators of its blocks.
 
     Attributes:
         allowed: The directives whose loss the operator accepts.
-        upstreams: Those translated so far, and literal addresses, by name.
-        choices: All values that a variable can have, for those of which that is known.
+        upstreams: The upstreams so far, by name; each literal address in a `proxy_pass` is one, too.
+        choices: All possible values of a variable, by its name, for the variables whose values are known.
     """
 
     def __init__(self, allowed: Iterable[str] = ()) -> None:
@@ -69,10 +69,10 @@
         self._server_translator = ServerTranslator(self)
 
     def translate(self, nodes: tuple[Node, ...]) -> Site:
-        """Translates the whole tree.
+        """Translates the whole tree of directives.
 
         Raises:
-            NginxConfigError: Names every line that cannot be carried over.
+            NginxConfigError: A directive was refused; the text lists every refused line.
         """
         all_nodes = list(walk(nodes))
         self._custom_variables = frozenset(_defined_variables(all_nodes))
@@ -97,7 +97,7 @@
         return self._build_site()
 
     def _translate_blocks(self, nodes: list[Node]) -> None:
-        """Translates upstreams, then maps, then splits."""
+        """Translates the `upstream` blocks, then the `map` blocks, then the `split_clients` blocks."""
         for node in nodes:
             if node.name == "upstream":
                 self.guard(node, self._add_upstream)
@@ -123,16 +123,17 @@
         )
         try:
             Router(site)
-        except RoutingTableError as error:  # each value is checked where it stands: this finds one forgotten
+        # The translators check each value with its line; this catches an invalid value that they missed.
+        except RoutingTableError as error:
             raise NginxConfigError(f"{self._servers[0].defined_at}: server: {error}") from error
         return site
 
     # The context of single blocks.
 
     def refuse(self, node: Node, why: str, name: str = "") -> None:
-        """Notes that a directive cannot be translated, or its loss if that is allowed.
+        """Records that a directive cannot be translated, as a loss if that is allowed, else as an error.
 
-        The loss is allowed under `name`, by default the directive's own.
+        The loss is allowed if `allowed` has `name`, by default the directive's name.
         """
         name = name or node.name
         if name in self.allowed:
@@ -141,11 +142,11 @@
             self._problems.append(f"{node.location}: {name}: {why}")
 
     def note(self, node: Node, text: str) -> None:
-        """Notes what is done in another way than by nginx."""
+        """Records a difference between nginx's behaviour and the table's."""
         self._notes.append(f"{node.location}: {node}: {text}")
 
     def guard(self, node: Node, translate: Callable[[Node], None]) -> None:
-        """Translates one directive; an error within it is noted as a refusal at its line."""
+        """Translates one directive; an error that `translate` raises is recorded as a refusal at its line."""
         try:
             translate(node)
         except DirectiveRefusedError as error:
@@ -154,14 +155,14 @@
             self.refuse(node, str(error))
 
     def checked_template(self, text: str) -> str:
-        """Returns a string with variables as it is; raises `UnknownVariableError`."""
+        """Returns a string with variables unchanged; raises `UnknownVariableError` if it is invalid."""
         parse_template(text, self._custom_variables)
         return text
 
     # Checks of the whole tree.
 
     def _check_policy(self, node: Node) -> None:
-        """Refuses a directive that cannot be carried over, or notes its loss."""
+        """Refuses a directive that cannot be carried over, or records its loss if that is allowed."""
         policy = policy_of(node.name)
         if policy.handling is not Handling.REFUSED:
             return
@@ -175,10 +176,10 @@
             self._problems.append(problem)
 
     def _check_contexts(self, nodes: Iterable[Node], context: str) -> None:
-        """Refuses a directive where nginx itself would not take it: it has no meaning there."""
+        """Refuses each directive in a context where nginx does not accept it, as it has no meaning there."""
         for node in nodes:
             if context == "upstream" and node.name == "server":
-                continue  # another directive of that name
+                continue  # a server of the upstream, a different directive than the virtual server
             contexts = CONTEXTS.get(node.name)
             if contexts is not None and context not in contexts:
                 self.refuse(node, f"stands in {context}, where nginx does not take it")
@@ -186,7 +187,7 @@
                 self._check_contexts(node.children, node.name)
 
     def _collect_choices(self, nodes: Iterable[Node]) -> None:
-        """Collects the variables whose every value is known beforehand: they may choose an upstream."""
+        """Collects the variables whose possible values are all known at import; they may name an upstream."""
         for map_row in self._maps:
             self.choices[map_row.name] = [map_row.default, *(value for _, value in map_row.entries)]
         for split_row in self._splits:
@@ -200,19 +201,19 @@
 
 
 def _problem_position(problem: str) -> tuple[str, int]:
-    """Returns file and line of `file:line: directive: why`, the order in which problems are told."""
+    """Returns the file and line of `file:line: directive: why`, the key by which problems are sorted."""
     file, line = problem.partition(": ")[0].rsplit(":", 1)
     return file, int(line)
 
 
 def _has_directives(node: Node) -> bool:
-    """Returns whether a node's block holds directives that are translated."""
+    """Returns whether a node has a block that contains directives to translate."""
     is_translated = policy_of(node.name).handling is Handling.TRANSLATED
     return node.block is not None and is_translated and node.name not in VARIABLE_BLOCKS
 
 
 def walk(nodes: Iterable[Node]) -> Iterator[Node]:
-    """Yields every directive that matters: none within blocks that are ignored, or within maps."""
+    """Yields every directive, without those inside ignored or refused blocks and without entries of maps."""
     for node in nodes:
         yield node
         if _has_directives(node):
@@ -220,7 +221,7 @@
 
 
 def _defined_variables(nodes: Iterable[Node]) -> Iterator[str]:
-    """Yields the variables that the file itself defines: maps, splits, `set`, named groups of regexes."""
+    """Yields the variables that the file defines by `map`, `split_clients`, `set` or regexes' named groups."""
     for node in nodes:
         if node.name in VARIABLE_BLOCKS and len(node.args) == 2:
             yield node.args[1].lstrip("$")
@@ -233,13 +234,13 @@
 
 
 def import_site(path: str, allowed: Iterable[str] = ()) -> Site:
-    """Imports a file with all that it includes.
+    """Imports an nginx configuration file and the files that it includes.
 
     Args:
-        path: nginx's file.
-        allowed: Directives whose loss the operator accepts.
+        path: The configuration file.
+        allowed: The directives whose loss the operator accepts.
 
     Raises:
-        NginxConfigError: Names every line that is refused.
+        NginxConfigError: A directive was refused; the text lists every refused line.
     """
     return SiteTranslator(allowed).translate(parse_file(path))
--- a/gladewalk/nginx/upstreams.py
+++ b/gladewalk/nginx/upstreams.py
@@ -50,7 +50,7 @@
 
     Raises:
         DirectiveRefusedError: A parameter cannot be translated.
-        DirectiveValueError: A value has the wrong form.
+        DirectiveValueError: A value is malformed.
     """
     if not node.args:
         raise DirectiveRefusedError(node, "takes an address")
@@ -81,11 +81,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyTarget:
-    """What a `proxy_pass` names.
+    """The parts of a `proxy_pass` URL.
 
     Attributes:
-        upstream: An upstream's name, a literal address, or a variable that chooses an upstream.
-        uri: None without one.
+        upstream: An upstream's name, a literal address, or a variable whose value names an upstream.
+        uri: The URI after the upstream; None if there is none.
     """
 
     upstream: str
@@ -96,7 +96,7 @@
     """Splits the URL of a `proxy_pass`.
 
     Raises:
-        DirectiveRefusedError: It is TLS, a Unix socket, or has no upstream that can be known.
+        DirectiveRefusedError: The URL is not `http://`, is a Unix socket, or names no known upstream.
     """
     if len(node.args) != 1:
         raise DirectiveRefusedError(node, "takes one address")
--- a/gladewalk/nginx/uri.py
+++ b/gladewalk/nginx/uri.py
@@ -1,9 +1,10 @@
-"""Request targets, parsed and normalised as nginx does before it searches a location.
+"""Parses and normalises request targets as nginx does before it searches a location.
 
 nginx.org, ngx_http_core_module, "location": "The matching is performed against a normalized URI, after
 decoding the text encoded in the '%XX' form, resolving references to relative path components '.' and '..',
-and possible compression of two or more adjacent slashes into a single slash." Texts stand for bytes in
-latin-1.
+and possible compression of two or more adjacent slashes into a single slash."
+
+Each character of a text represents one byte (latin-1).
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from .errors import RequestTargetError
 
 HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
-# What no request line and no field may hold, whatever the rules made of a decoded path.
+# Control characters, blank and DEL. A decoded path may have them; a request line or a field must not.
 UNSAFE_CHARS = frozenset({*range(0x21), 0x7F})
 ESCAPED_IN_URI = frozenset({*UNSAFE_CHARS, *range(0x80, 0x100), ord("#"), ord("%"), ord("?")})
-# In a query's parameter or anything else put into a new query: `&` and `+` as well (NGX_ESCAPE_ARGS).
+# Values that are put into a query have `&` and `+` encoded as well (NGX_ESCAPE_ARGS).
 ESCAPED_IN_ARGS = ESCAPED_IN_URI | {ord("&"), ord("+")}
 MAX_TARGET_BYTES = 16 * 1024
 PERCENT = ord("%")
@@ -27,10 +28,10 @@
     """A request target.
 
     Attributes:
-        raw: As it was received.
-        path: Decoded and normalised.
-        args: As received, without the `?`.
-        is_encoded: Whether the path had encoded characters; then it is encoded again when it is forwarded.
+        raw: The target as it was received.
+        path: The path, decoded and normalised.
+        args: The query as it was received, without the `?`.
+        is_encoded: Whether the path had encoded characters; if so, it is encoded again when it is forwarded.
     """
 
     raw: str
@@ -73,10 +74,10 @@
 
 
 def normalise_path(path: str, merge_slashes: bool = True) -> str:
-    """Resolves `.` and `..` and, if wanted, merges slashes.
+    """Resolves `.` and `..` segments and, with `merge_slashes`, replaces runs of slashes by one slash.
 
     Raises:
-        RequestTargetError: The path leaves the root.
+        RequestTargetError: A `..` leads above the root.
     """
     if "//" not in path and "/." not in path:
         return path
@@ -99,7 +100,7 @@
 
 
 def percent_encode(path: str, escaped: frozenset[int] = ESCAPED_IN_URI) -> str:
-    """Encodes a decoded path so that it may stand in a request line again (NGX_ESCAPE_URI)."""
+    """Percent-encodes a decoded path for use in a request line (NGX_ESCAPE_URI)."""
     if not any(ord(char) in escaped for char in path):
         return path
     return "".join(f"%{ord(char):02X}" if ord(char) in escaped else char for char in path)
--- a/gladewalk/nginx/values.py
+++ b/gladewalk/nginx/values.py
@@ -1,6 +1,6 @@
-"""Parsers for nginx's forms of values: durations, sizes, flags, addresses.
+"""Parsers for the values of nginx's directives: durations, sizes, flags, numbers and addresses.
 
-nginx.org, "Configuration file measurement units". All raise `DirectiveValueError`.
+Source: nginx.org, "Configuration file measurement units". All parsers raise `DirectiveValueError`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def parse_duration_ms(text: str) -> float:
-    """Parses `1m30s`, `500ms`, `10` (seconds) to milliseconds; each unit comes once, the greater first."""
+    """Parses `1m30s`, `500ms` or `10` (seconds) to milliseconds; units must be in descending order."""
     if not text:
         raise DirectiveValueError("a time is missing")
     position, total_ms, last_rank = 0, 0.0, -1
@@ -53,7 +53,7 @@
 
 
 def parse_size_bytes(text: str) -> int:
-    """Parses `64k`, `1m` to bytes."""
+    """Parses a size such as `64k` or `1m` to bytes."""
     found = SIZE.match(text)
     if found is None:
         raise DirectiveValueError(f"'{text}' is not a size")
@@ -61,7 +61,7 @@
 
 
 def parse_flag(text: str) -> bool:
-    """Parses `on` and `off`."""
+    """Parses `on` or `off`, in any case."""
     if text.lower() not in ("on", "off"):
         raise DirectiveValueError(f"'{text}' is neither on nor off")
     return text.lower() == "on"
@@ -75,7 +75,7 @@
 
 
 def parse_network(text: str) -> str:
-    """Parses an address or network of `allow` and `deny` to its normal form; `all` stays."""
+    """Parses the address or network of an `allow` or `deny` to its normal form; returns `all` unchanged."""
     if text == "all":
         return text
     if text == "unix:":
@@ -87,7 +87,7 @@
 
 
 def parse_server_address(text: str) -> str:
-    """Parses `HOST[:PORT]` with a literal address to `HOST:PORT`; IPv6 stays in its brackets."""
+    """Parses `HOST[:PORT]` with a literal address to `HOST:PORT`; an IPv6 address has brackets."""
     if text.startswith("unix:"):
         raise DirectiveValueError("Unix sockets are not dialled")
     host, colon, port_text = text.rpartition(":")
--- a/gladewalk/nginx/variable_tables.py
+++ b/gladewalk/nginx/variable_tables.py
@@ -21,8 +21,8 @@
     """Translates a `map` block.
 
     Raises:
-        DirectiveRefusedError: An entry is not of a known form.
-        RoutingTableError: A regex, a name or a variable cannot be used.
+        DirectiveRefusedError: An entry is malformed.
+        RoutingTableError: A regex, host name or variable is invalid.
     """
     source, name = _source_and_name(node, context)
     entries: list[list[str]] = []
@@ -31,7 +31,7 @@
         if child.name == "hostnames" and not child.args:
             has_hostnames = True
         elif child.name == "volatile" and not child.args:
-            continue  # no value is cached here
+            continue  # `volatile` disables the caching of the variable, and no variable is cached here
         elif child.name == "include" or len(child.args) != 1:
             raise DirectiveRefusedError(child, "takes a value and a result")
         elif child.name == "default":
@@ -69,8 +69,8 @@
     """Translates a `split_clients` block.
 
     Raises:
-        DirectiveRefusedError: The parts are not of a known form, or more than the whole.
-        RoutingTableError: A variable cannot be used.
+        DirectiveRefusedError: A part is malformed, the parts exceed 100 %, or `*` is not last.
+        RoutingTableError: A variable is invalid.
     """
     source, name = _source_and_name(node, context)
     parts: list[list[str]] = []
@@ -90,7 +90,7 @@
 
 
 def _source_and_name(node: Node, context: TranslationContext) -> tuple[str, str]:
-    """Returns the string that is looked up and the name of the variable that gets the result."""
+    """Returns the source string of a `map` or `split_clients` and the name of the defined variable."""
     if len(node.args) != 2 or not VARIABLE.fullmatch(node.args[1]):
         raise DirectiveRefusedError(node, "takes a string and a variable")
     source, variable = node.args
--- a/gladewalk/nginx/variables.py
+++ b/gladewalk/nginx/variables.py
@@ -1,7 +1,7 @@
-"""Strings with variables: parsed once, evaluated for each request.
+"""Strings with variables, which are parsed once and evaluated for each request.
 
-Which variables can be known is a closed list: an unknown one is an error at import, never an empty string at
-run time.
+The list of known variables is closed: a string with an unknown variable is an error at import, instead of an
+empty value at run time.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 VARIABLE = re.compile(r"\$(?:\{([A-Za-z0-9_]+)\}|([A-Za-z0-9_]+))")
 CAPTURE = re.compile(r"[0-9]\Z")
 VARIABLE_PREFIXES = ("arg_", "http_", "cookie_")
-MAX_EVALUATION_DEPTH = 16  # of maps whose values name other maps; nginx, too, ends such a circle
+# The nesting of maps whose values refer to other maps. The limit ends a cycle of maps, as nginx's limit does.
+MAX_EVALUATION_DEPTH = 16
 DEFAULT_PROXY_PORT = "80"
 
 
 @dataclass(slots=True)
 class Request:
-    """A request as the router sees it; names of fields are in lower case, with dashes."""
+    """The request that is routed; the names in `fields` are in lower case, with dashes."""
 
     method: str
     target: Target
@@ -39,7 +40,7 @@
 
 
 class ComputedVariable(Protocol):
-    """A variable whose value is computed from others: of `map` or `split_clients`."""
+    """A variable of `map` or `split_clients`, whose value is computed from other variables."""
 
     def value(self, state: RequestState) -> str:
         """Returns the value for a request."""
@@ -47,17 +48,17 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """The state of one request while it is routed: what rewrites change and what regexes capture.
+    """The state of one request while it is routed: the current URI, variables and captures.
 
     Attributes:
-        request: The request itself.
+        request: The request as it was received.
         uri: The current path, decoded.
         args: The current query.
-        server_name: The first plain name of the virtual server.
-        proxy_host: The upstream that was chosen last.
-        is_internal: Whether an internal redirect has taken place.
-        is_uri_unchanged: Whether no rule has changed the URI, so that the raw target still stands for it.
-        variables: Set by `set`, and named captures.
+        server_name: The first name of the virtual server that is neither a regex nor a wildcard, or "".
+        proxy_host: The name of the upstream that was chosen last.
+        is_internal: Whether a rewrite or an internal redirect has happened; `internal` locations require it.
+        is_uri_unchanged: Whether no rule has changed the URI, so that the raw target can be forwarded.
+        variables: The variables that `set` and named groups of regexes have set.
         captures: `$0`, `$1` ... of the last regex that matched.
         computed: The variables of `map` and `split_clients`.
     """
@@ -75,14 +76,14 @@
     _depth: int = 0
 
     def set_captures(self, matched: RegexMatch) -> None:
-        """Takes over the groups of a regex that has matched."""
+        """Sets the captures and the variables of the named groups from a regex match."""
         self.captures = matched.groups
         self.variables.update(matched.names)
 
     def redirect_internally(self, target: str, keeps_args: bool = False) -> None:
-        """Replaces URI and query by those of an internal redirect.
+        """Replaces the URI and the query by those of an internal redirect's target.
 
-        With `keeps_args` a target without a query leaves the current one in force.
+        With `keeps_args` the current query is kept if the target has none.
         """
         self.is_internal, self.is_uri_unchanged = True, False
         self.uri, question_mark, args = target.partition("?")
@@ -90,7 +91,7 @@
             self.args = args
 
     def value(self, name: str) -> str:
-        """Returns a variable's value; what the request does not have is empty, as in nginx."""
+        """Returns a variable's value; "" if the request lacks the field, argument or cookie, as in nginx."""
         if CAPTURE.match(name):
             return self.captures[int(name)] if int(name) < len(self.captures) else ""
         if name in self.variables:
@@ -137,7 +138,7 @@
     return f"{request.method} {request.target.raw} {request.protocol}"
 
 
-# ngx_http_core_module, "Embedded Variables", and those of ngx_http_proxy_module.
+# The supported variables of ngx_http_core_module ("Embedded Variables") and of ngx_http_proxy_module.
 BUILTIN_VARIABLES: dict[str, Callable[[RequestState], str]] = {
     "uri": lambda state: state.uri,
     "document_uri": lambda state: state.uri,
@@ -167,7 +168,7 @@
 
 
 def query_argument(args: str, name: str) -> str:
-    """Returns the first argument of a query with that name, in whichever case, undecoded."""
+    """Returns the value of the first query argument with a name, ignoring case, without decoding it."""
     for pair in args.split("&"):
         key, equals, value = pair.partition("=")
         if equals and key.lower() == name.lower():
@@ -176,7 +177,7 @@
 
 
 def cookie_value(cookies: str, name: str) -> str:
-    """Returns the first cookie of that name in a Cookie field."""
+    """Returns the value of the first cookie with a name in a Cookie field, or ""."""
     for pair in cookies.split(";"):
         key, _, value = pair.strip().partition("=")
         if key == name:
@@ -189,8 +190,8 @@
     """A string with variables.
 
     Attributes:
-        text: As it is written.
-        parts: Texts at even indexes, names of variables at odd ones.
+        text: The string as it is written in the file.
+        parts: Literal texts at even indexes, names of variables at odd indexes.
     """
 
     text: str
@@ -198,18 +199,18 @@
 
     @property
     def is_constant(self) -> bool:
-        """Whether it has no variables."""
+        """Whether the string has no variables."""
         return len(self.parts) == 1
 
     def render(self, state: RequestState) -> str:
-        """Returns the string with the variables' values."""
+        """Returns the string with each variable replaced by its value."""
         if self.is_constant:
             return self.parts[0]
         return "".join(state.value(part) if index % 2 else part for index, part in enumerate(self.parts))
 
 
 def is_known_variable(name: str, custom: frozenset[str]) -> bool:
-    """Returns whether a variable can be known here; `custom` are those that the file itself defines."""
+    """Returns whether a variable is supported; `custom` are the variables that the file defines."""
     if name in custom or name in BUILTIN_VARIABLES or CAPTURE.match(name):
         return True
     return any(name.startswith(prefix) and len(name) > len(prefix) for prefix in VARIABLE_PREFIXES)
@@ -219,13 +220,13 @@
     """Parses a string with variables.
 
     Raises:
-        UnknownVariableError: A variable cannot be known here, or a `$` stands alone.
+        UnknownVariableError: A variable is not supported, or a `$` has no name after it.
     """
     parts: list[str] = []
     position = 0
     for found in VARIABLE.finditer(text):
         name, end = found[1] or found[2], found.end()
-        if found[1] is None and name[0].isdigit():  # `$12` is `$1` and a 2
+        if found[1] is None and name[0].isdigit():  # `$12` is the capture `$1` followed by the text "2"
             name, end = name[0], found.start() + 2
         if not is_known_variable(name, custom):
             raise UnknownVariableError(f"the variable ${name} can't be known here")
