--- a/gladewalk/nginx/translate.py
+++ b/gladewalk/nginx/translate.py
@@ -221,7 +221,7 @@
 
 
 def _defined_variables(nodes: Iterable[Node]) -> Iterator[str]:
-    """Yields the variables that the file defines by `map`, `split_clients`, `set` or regexes' named groups."""
+    """Yields the variables that the file defines by `map`, `split_clients`, `set` or named regex groups."""
     for node in nodes:
         if node.name in VARIABLE_BLOCKS and len(node.args) == 2:
             yield node.args[1].lstrip("$")
--- a/tests/test_golden_nginx.py
+++ b/tests/test_golden_nginx.py
@@ -1,8 +1,8 @@
 """Golden bytes of the nginx importer, of its router and of the HTTP front.
 
-`tests/golden/nginx.json` was captured from the program at 090a370. Tables that stand in operators' files,
-refusals, landings, what a client is answered and what a server is sent must stay equal byte for byte;
-`python -m tests.test_golden_nginx` captures it anew, which a change of format needs and nothing else does.
+`tests/golden/nginx.json` was captured from the program at 090a370. Tables (which operators keep in files),
+refusals, landings, responses to clients and requests to servers must stay equal byte for byte.
+`python -m tests.test_golden_nginx` captures the file again; only a deliberate change of a format needs that.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from gladewalk.rehearsal.scripted_servers import Http1Script, ReceivedRequest
 from gladewalk.rehearsal.site_harness import SiteHarness
 
-from .test_nginx import CORPUS, FILES, expectations, land
+from .test_nginx import CORPUS, FILES, expectations, route_and_describe
 
 GOLDEN = Path(__file__).parent / "golden" / "nginx.json"
 ALLOWED = (
@@ -102,11 +102,11 @@
     "long head": b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: a\r\n\r\n",
     "noise": b"\x16\x03\x01\x02\x00\x01",
 }
-UNSTABLE_COUNTERS = ("coordinator.", "caches.connects")  # how often a connection is dialled goes by the clock
+UNSTABLE_COUNTERS = ("coordinator.", "caches.connects")  # the number of new connections depends on timing
 
 
-def imported(path: Path, allowed: tuple[str, ...] = ()) -> dict[str, Any]:
-    """What the importer makes of a file of the corpus: its table, or its refusals."""
+def import_result(path: Path, allowed: tuple[str, ...] = ()) -> dict[str, Any]:
+    """Returns the importer's result for a corpus file: the table, or the refusals."""
     with chdir(path.parent):
         try:
             site = import_site(path.name, allowed)
@@ -115,8 +115,8 @@
     return {"table": write_site(site)}
 
 
-def landings(path: Path) -> dict[str, list[str]]:
-    """Each expectation of a file with its landing and the way to it."""
+def explained_landings(path: Path) -> dict[str, list[str]]:
+    """Returns the landing and the explanation for each expectation of a corpus file."""
     with chdir(path.parent):
         try:
             router = Router(import_site(path.name))
@@ -125,13 +125,15 @@
     found: dict[str, list[str]] = {}
     for number, each in enumerate(expectations(path)):
         asked = each.asked
-        named = RequestDescription(asked.uri, asked.host, asked.method, asked.client_address, asked.listen)
-        found[f"{number} {asked}"] = [land(router, each), *explain(router, named)]
+        description = RequestDescription(
+            asked.uri, asked.host, asked.method, asked.client_address, asked.listen
+        )
+        found[f"{number} {asked}"] = [route_and_describe(router, each), *explain(router, description)]
     return found
 
 
-async def answer(received: ReceivedRequest) -> None:
-    """A server that answers by what it is asked for."""
+async def respond_by_path(received: ReceivedRequest) -> None:
+    """Responds by the path, the method and the fields of the request."""
     writer, path = received.writer, received.path
     if path.startswith("/chunked"):
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
@@ -157,12 +159,12 @@
         await received.respond(200, b"<" + received.body + b">", Set_Cookie="a=1", Server="x", X_Hidden="1")
 
 
-async def abort(received: ReceivedRequest) -> None:
+async def abort_connection(received: ReceivedRequest) -> None:
     received.writer.transport.abort()
 
 
-async def exchange_with(address: tuple[str, int], data: bytes) -> str:
-    """Everything that a client is answered until its connection ends; "" for an abort."""
+async def send_and_read(address: tuple[str, int], data: bytes) -> str:
+    """Sends bytes on a new connection and returns all bytes received until it ends; "" if it is aborted."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -173,19 +175,20 @@
         writer.close()
 
 
-async def play_front(folder: Path) -> dict[str, Any]:
-    """The fixed requests, one after the other: what each is answered, and what the servers were sent."""
+async def run_front(folder: Path) -> dict[str, Any]:
+    """Sends the fixed requests one after the other; returns each response and the requests to servers."""
     (folder / "f.conf").write_text(FRONT_SITE)
     with chdir(folder):
         site = import_site("f.conf")
     found: dict[str, Any] = {}
-    scripts: dict[str, Http1Script] = {"a/0": answer, "b/0": answer}
-    scripts |= {f"broken{number}/0": abort for number in ("", 2, 3, 4)}  # each rests once it has failed
-    async with SiteHarness(site, scripts) as world:
+    scripts: dict[str, Http1Script] = {"a/0": respond_by_path, "b/0": respond_by_path}
+    # Each request to a broken server has an upstream of its own, as a server is in backoff after its failure.
+    scripts |= {f"broken{number}/0": abort_connection for number in ("", 2, 3, 4)}
+    async with SiteHarness(site, scripts) as harness:
         for name, data in REQUESTS.items():
-            for server in world.servers.values():
+            for server in harness.servers.values():
                 server.received.clear()
-            text = await exchange_with(world.address(), data)
+            text = await send_and_read(harness.address(), data)
             sent = [
                 [
                     server.uid,
@@ -194,12 +197,12 @@
                     [*received.headers.items()],
                     received.body.decode("latin-1"),
                 ]
-                for server in world.servers.values()
+                for server in harness.servers.values()
                 for received in server.received
             ]
             found[name] = {"answer": text, "sent": sent}
-        assert world.director is not None
-        counters = world.director.counters.report()
+        assert harness.director is not None
+        counters = harness.director.counters.report()
         found["counters"] = {
             name: value for name, value in sorted(counters.items()) if not name.startswith(UNSTABLE_COUNTERS)
         }
@@ -207,45 +210,45 @@
     return decoded
 
 
-def golden() -> dict[str, Any]:
+def load_golden() -> dict[str, Any]:
     loaded: dict[str, Any] = json.loads(GOLDEN.read_text(encoding="utf-8"))
     return loaded
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_each_file_of_the_corpus_is_imported_to_the_same_bytes(path: Path) -> None:
-    captured = golden()
-    assert imported(path) == captured["imported"][path.name]
-    assert imported(path, ALLOWED) == captured["imported with losses"][path.name]
+def test_each_corpus_file_is_imported_to_the_same_bytes(path: Path) -> None:
+    captured = load_golden()
+    assert import_result(path) == captured["imported"][path.name]
+    assert import_result(path, ALLOWED) == captured["imported with losses"][path.name]
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_each_captured_table_is_read_and_written_again_to_the_same_bytes(path: Path) -> None:
     for captured in ("imported", "imported with losses"):
-        if (text := golden()[captured][path.name].get("table")) is not None:
+        if (text := load_golden()[captured][path.name].get("table")) is not None:
             assert write_site(read_site(text)) == text
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_each_expectation_lands_by_the_same_way(path: Path) -> None:
-    assert landings(path) == golden()["landings"][path.name]
+def test_each_expected_landing_has_the_same_explanation(path: Path) -> None:
+    assert explained_landings(path) == load_golden()["landings"][path.name]
 
 
 def test_the_page_of_directives_is_the_same() -> None:
-    assert directives_page() == golden()["page"]
+    assert directives_page() == load_golden()["page"]
 
 
-def test_the_front_answers_and_sends_the_same_bytes(tmp_path: Path) -> None:
-    assert asyncio.run(play_front(tmp_path)) == golden()["front"]
+def test_the_front_sends_the_same_responses_and_requests(tmp_path: Path) -> None:
+    assert asyncio.run(run_front(tmp_path)) == load_golden()["front"]
 
 
-def capture(folder: Path) -> dict[str, Any]:
+def capture_all(folder: Path) -> dict[str, Any]:
     return {
-        "imported": {path.name: imported(path) for path in FILES},
-        "imported with losses": {path.name: imported(path, ALLOWED) for path in FILES},
-        "landings": {path.name: landings(path) for path in FILES},
+        "imported": {path.name: import_result(path) for path in FILES},
+        "imported with losses": {path.name: import_result(path, ALLOWED) for path in FILES},
+        "landings": {path.name: explained_landings(path) for path in FILES},
         "page": directives_page(),
-        "front": asyncio.run(play_front(folder)),
+        "front": asyncio.run(run_front(folder)),
     }
 
 
@@ -254,5 +257,5 @@
 
     assert FILES and FILES[0].parent == CORPUS
     with tempfile.TemporaryDirectory() as folder:
-        text = json.dumps(capture(Path(folder)), indent=1, sort_keys=True) + "\n"
+        text = json.dumps(capture_all(Path(folder)), indent=1, sort_keys=True) + "\n"
     GOLDEN.write_text(text, encoding="utf-8")
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -1,4 +1,8 @@
-"""nginx routing: a corpus with its landings, and a second matcher that reads the rules literally."""
+"""nginx routing: a corpus of files with expected landings, and a reference implementation of the search.
+
+A corpus file has lines `#> [METHOD] HOST URI [with FIELD=VALUE] [from CLIENT] [at LISTEN] => LANDING` for the
+expected landings, or lines `#! LINE DIRECTIVE` for the expected refusals.
+"""
 
 import re
 import subprocess
@@ -35,7 +39,7 @@
 
 CORPUS = Path(__file__).parent.parent / "corpus" / "nginx"
 FILES = sorted(CORPUS.glob("*.conf"))
-EXPECT = re.compile(r"#> (?:([A-Z]+) )?(\S+) (\S+)((?: (?:with|from|at) \S+)*) => (.*)")
+EXPECTATION = re.compile(r"#> (?:([A-Z]+) )?(\S+) (\S+)((?: (?:with|from|at) \S+)*) => (.*)")
 
 
 @dataclass
@@ -49,19 +53,19 @@
     for line in path.read_text().splitlines():
         if not line.startswith("#>"):
             continue
-        found = EXPECT.fullmatch(line)
+        found = EXPECTATION.fullmatch(line)
         assert found is not None, line
-        method, host, uri, more, landing = found.groups()
-        words = more.split()
-        given_words = list(zip(words[::2], words[1::2], strict=True))
-        fields = dict(value.split("=", 1) for word, value in given_words if word == "with")
-        client = next((value for word, value in given_words if word == "from"), "127.0.0.1")
-        listen = next((value for word, value in given_words if word == "at"), "")
+        method, host, uri, options, landing = found.groups()
+        words = options.split()
+        option_pairs = list(zip(words[::2], words[1::2], strict=True))
+        fields = dict(value.split("=", 1) for word, value in option_pairs if word == "with")
+        client = next((value for word, value in option_pairs if word == "from"), "127.0.0.1")
+        listen = next((value for word, value in option_pairs if word == "at"), "")
         asked = RequestDescription(uri, "" if host == "-" else host, method or "GET", client, listen)
         yield Expected(asked, {name.lower(): value for name, value in fields.items()}, landing)
 
 
-def land(router: Router, expected: Expected) -> str:
+def route_and_describe(router: Router, expected: Expected) -> str:
     asked = expected.asked
     listen = asked.listen or next(iter(router.listeners))
     host = normalise_optional_host(asked.host)
@@ -72,7 +76,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_each_file_of_the_corpus_lands_as_written_or_is_refused_by_line(path: Path) -> None:
+def test_each_corpus_file_is_routed_or_refused_as_its_comments_expect(path: Path) -> None:
     refused = {tuple(line[3:].split()) for line in path.read_text().splitlines() if line.startswith("#!")}
     expected = list(expectations(path))
     assert bool(refused) != bool(expected), "a file has landings or refusals"
@@ -80,32 +84,33 @@
         with pytest.raises(NginxConfigError) as caught:
             import_site(str(path))
         lines = str(caught.value).splitlines()
-        said = {tuple(line.removeprefix(f"{path}:").split(": ")[:2]) for line in lines}
-        assert said == refused, str(caught.value)
+        reported = {tuple(line.removeprefix(f"{path}:").split(": ")[:2]) for line in lines}
+        assert reported == refused, str(caught.value)
         return
     site = import_site(str(path))
     assert read_site(write_site(site)) == site
     router = Router(site)
-    found = [(str(each.asked), land(router, each)) for each in expected]
+    found = [(str(each.asked), route_and_describe(router, each)) for each in expected]
     assert found == [(str(each.asked), each.landing) for each in expected]
 
 
-def test_the_corpus_is_as_large_as_it_says() -> None:
+def test_the_corpus_has_at_least_60_files_and_150_expected_landings() -> None:
     assert len(FILES) >= 60
     assert sum(len(list(expectations(path))) for path in FILES) >= 150
 
 
-# A second matcher: the documentation's steps one by one, over the rows, with no index and no compilation.
+# A reference implementation of the search: it follows the steps of nginx's documentation over the table rows,
+# without an index or compilation.
 
 
 @dataclass
-class LiteralSearch:
-    """ngx_http_core_module, "location", read literally."""
+class ReferenceSearch:
+    """The location search as ngx_http_core_module, "location", describes it."""
 
     uri: str
 
     def search(self, rows: list[LocationRow]) -> tuple[LocationRow | None, bool]:
-        """Returns the location, and whether the search is over (an exact match, or a regex)."""
+        """Returns the location, and whether the search has ended by an exact match or a regex match."""
         for row in rows:
             if row.modifier == "=" and row.pattern == self.uri:
                 return row, True
@@ -183,38 +188,40 @@
     target = parse_target(uri)
     search = LocationSearch(RequestState(Request("GET", target), target.path, ""))
     search.run(compiled.locations)
-    wanted, _ = LiteralSearch(target.path).search(locations)
-    assert (search.best.row if search.best else None) == wanted, (uri, locations)
+    reference, _ = ReferenceSearch(target.path).search(locations)
+    assert (search.best.row if search.best else None) == reference, (uri, locations)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(locations=location_trees(2), uris=st.lists(PATHS, min_size=1, max_size=4))
-def test_the_compiled_search_agrees_with_the_literal_one(
+def test_the_compiled_search_agrees_with_the_reference_search(
     locations: list[LocationRow], uris: list[str]
 ) -> None:
     for uri in uris:
         check_agreement(locations, uri)
 
 
-def test_the_literal_search_can_disagree() -> None:
-    """So the check above can fail: with the regexes turned, it does."""
+def test_the_reference_search_depends_on_the_order_of_regexes() -> None:
+    """Shows that the agreement check can fail: reversed regexes give the reference another location."""
     rows = [LocationRow(defined_at=p, modifier="~", pattern=p, upstream="u") for p in ("a", "b")]
-    assert LiteralSearch("/ab").search(rows)[0] != LiteralSearch("/ab").search(rows[::-1])[0]
+    assert ReferenceSearch("/ab").search(rows)[0] != ReferenceSearch("/ab").search(rows[::-1])[0]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
     name=st.sampled_from([path.name for path in FILES]),
-    cuts=st.lists(
+    edits=st.lists(
         st.tuples(st.integers(0, 2_000), st.sampled_from((*"{};\"'\\$~ =\n#\0\xff", "location", "if"))),
         min_size=1, max_size=4,
     ),
 )  # fmt: skip
-def test_no_file_raises_anything_but_the_importers_own_error(name: str, cuts: list[tuple[int, str]]) -> None:
+def test_a_corrupted_file_raises_no_other_error_than_nginx_config_error(
+    name: str, edits: list[tuple[int, str]]
+) -> None:
     text = (CORPUS / name).read_text().replace("include ", "set ")
-    for place, sign in cuts:
-        place %= len(text)
-        text = text[:place] + sign + text[place + 1 :]
+    for position, replacement in edits:
+        position %= len(text)
+        text = text[:position] + replacement + text[position + 1 :]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "f.conf"
         path.write_bytes(text.encode("latin-1", "replace"))
@@ -226,7 +233,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(raw=st.text(st.sampled_from("/.%2ef0aA?#\x00\x7f b"), max_size=12))
-def test_a_target_is_read_or_refused_and_then_stays_as_it_is(raw: str) -> None:
+def test_a_target_is_normalised_or_refused(raw: str) -> None:
     try:
         target = parse_target("/" + raw)
     except RequestTargetError:
@@ -236,18 +243,19 @@
 
 
 def test_split_clients_hash_is_murmur2() -> None:
-    # By a second way to the same figures: the published algorithm on words that are whole and that are not.
+    # Compares with a second implementation of the published algorithm, for lengths that are multiples of the
+    # word size of four bytes and for lengths that are not.
     assert [murmur2(b""), murmur2(b"a"), murmur2(b"abcd")] == [
-        slow_murmur(b""),
-        slow_murmur(b"a"),
-        slow_murmur(b"abcd"),
+        reference_murmur2(b""),
+        reference_murmur2(b"a"),
+        reference_murmur2(b"abcd"),
     ]
     for size in range(40):
         data = bytes(range(size))
-        assert murmur2(data) == slow_murmur(data)
+        assert murmur2(data) == reference_murmur2(data)
 
 
-def slow_murmur(data: bytes) -> int:
+def reference_murmur2(data: bytes) -> int:
     m, h = 0x5BD1E995, len(data)
     words, rest = divmod(len(data), 4)
     for n in range(words):
@@ -260,7 +268,7 @@
     return h ^ (h >> 15)
 
 
-def test_a_loss_that_is_accepted_by_name_is_written_into_the_result() -> None:
+def test_an_accepted_loss_is_recorded_in_the_table() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "f.conf"
         path.write_text(
@@ -279,47 +287,48 @@
             " location /d { try_files $uri /x?y=$uri; }\n location /x { proxy_pass http://a/z; }\n}\n"
         )
         router = Router(import_site(str(path), ["try_files"]))
-        ends = [
+        descriptions = [
             describe_landing(route_request(router, RequestDescription(uri))) for uri in ("/q?r=1", "/c", "/d")
         ]
-        assert ends == ["upstream a /q?r=1", "answer 410", "upstream a /z?y=/d"]
+        assert descriptions == ["upstream a /q?r=1", "answer 410", "upstream a /z?y=/d"]
         path.write_text("server {\n location / { auth_basic x; return 200; }\n}\n")
         with pytest.raises(NginxConfigError, match="its loss can't be accepted"):
             import_site(str(path), ["auth_basic"])
 
 
-def test_a_table_that_was_spoilt_is_refused_by_its_key() -> None:
+def test_an_invalid_table_is_refused_with_the_key_or_reason() -> None:
     text = write_site(import_site(str(FILES[0])))
-    for old, new, why in (
+    for old, new, reason in (
         ("version", "verzion", "verzion: no such setting"),
         ('address = "127.0.0.1:1"', "address = 1", r"upstreams\[0\]\.boxes\[0\]\.address: expected `str`"),
         ("[[", "[", "not valid TOML|expected"),
     ):
-        text_now = ("version = 1\n" + text) if old == "version" else text
-        with pytest.raises(ConfigError, match=why):
-            read_site(text_now.replace(old, new))
+        text_with_version = ("version = 1\n" + text) if old == "version" else text
+        with pytest.raises(ConfigError, match=reason):
+            read_site(text_with_version.replace(old, new))
     with pytest.raises(ConfigError, match="version: written in version 9"):
         read_site("version = 9")
 
 
-def test_explain_tells_the_way_and_diff_what_moves() -> None:
+def test_explain_lists_the_routing_steps_and_moved_requests_the_differences() -> None:
     site = import_site(str(CORPUS / "64-auction-site.conf"))
     router = Router(site)
     lines = explain(router, RequestDescription("/sale/7/a.mp4", "auction.example"))
-    told_places = [line.partition("  [")[0].strip() for line in lines if line.startswith("  location")]
-    assert told_places == [
+    traced_locations = [line.partition("  [")[0].strip() for line in lines if line.startswith("  location")]
+    assert traced_locations == [
         "location /sale/: the longest prefix here", "location /lots/: the longest prefix here",
         "location ~ \\.(?:mp4|webm)$: matches",
     ]  # fmt: skip
     assert lines[-1].startswith("=> upstream media /lots/7/a.mp4 by location ~ \\.(?:mp4|webm)$")
     server = site.servers[0]
-    moved = with_upstream(server, "/api/bid", "pages")
-    other = Router(with_first_server(site, moved))
-    asked = parse_requests(
+    changed_server = with_upstream(server, "/api/bid", "pages")
+    changed_router = Router(with_first_server(site, changed_server))
+    requests = parse_requests(
         ["# bids", "POST auction.example /api/bid/1", "auction.example /lots/1", "/health"]
     )
     assert [
-        (each.request.uri, each.previous, each.current) for each in moved_requests(router, other, asked)
+        (moved.request.uri, moved.previous, moved.current)
+        for moved in moved_requests(router, changed_router, requests)
     ] == [("/api/bid/1", "upstream bids /api/bid/1", "upstream pages /api/bid/1")]
     with pytest.raises(ConfigError, match="line 1"):
         parse_requests(["GET example.com /a more"])
@@ -328,10 +337,11 @@
 def with_upstream(server: ServerRow, pattern: str, upstream: str) -> ServerRow:
     import msgspec
 
-    places = [
-        msgspec.structs.replace(p, upstream=upstream) if p.pattern == pattern else p for p in server.locations
+    changed_rows = [
+        msgspec.structs.replace(location, upstream=upstream) if location.pattern == pattern else location
+        for location in server.locations
     ]
-    return msgspec.structs.replace(server, locations=places)
+    return msgspec.structs.replace(server, locations=changed_rows)
 
 
 def with_first_server(site: Site, server: ServerRow) -> Site:
@@ -340,22 +350,22 @@
     return msgspec.structs.replace(site, servers=[server, *site.servers[1:]])
 
 
-def test_every_directive_has_its_answer_and_the_page_is_made_from_the_table() -> None:
+def test_the_docs_have_the_generated_page_and_every_handling_is_used() -> None:
     text = (CORPUS.parent.parent / "docs" / "nginx-directives.md").read_text()
-    assert directives_page() in text, "python -m gladewalk.nginx.directives makes it anew"
+    assert directives_page() in text, "generate the page again: python -m gladewalk.nginx.directives"
     assert {policy.handling for policy in DIRECTIVES.values()} == set(Handling)
 
 
-def test_the_command_line_routes_imports_and_compares() -> None:
+def test_the_command_line_routes_imports_compares_and_rehearses() -> None:
     def run(*words: str) -> tuple[int, str, str]:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "gladewalk", *words],
             capture_output=True,
             text=True,
             timeout=60,
             check=False,
         )
-        return done.returncode, done.stdout, done.stderr
+        return completed.returncode, completed.stdout, completed.stderr
 
     file = str(CORPUS / "64-auction-site.conf")
     code, out, _ = run("route", file, "/lots/raw/a.mp4", "--host", "auction.example")
