--- a/gladewalk/nginx/errors.py
+++ b/gladewalk/nginx/errors.py
@@ -26,7 +26,7 @@
 
 
 class UnknownVariableError(RoutingTableError):
-    """A variable is neither built in nor defined by the configuration file."""
+    """A string has a `$` without a name, or a variable that is neither supported nor defined by the file."""
 
 
 class DuplicateLocationError(RoutingTableError):
--- a/gladewalk/nginx/locations.py
+++ b/gladewalk/nginx/locations.py
@@ -130,7 +130,7 @@
     def _translate_try_files(self, node: Node) -> str:
         """Returns the last argument of an allowed `try_files`, "" without one.
 
-        nginx uses the last argument if none of the files exists, and here none is taken to exist.
+        nginx uses the last argument if none of the files exists; the import assumes that none exists.
         """
         for child in node.children:
             if child.name == "try_files" and child.name in self._context.allowed:
--- a/gladewalk/nginx/maps.py
+++ b/gladewalk/nginx/maps.py
@@ -19,7 +19,10 @@
 
 
 class MapVariable:
-    """A variable of `map`: looks up exact values, ignoring case, or host names; then tries the regexes."""
+    """A variable of `map`: looks up exact values, ignoring case, or host names; then tries regexes.
+
+    The regexes are tried in the order of the file.
+    """
 
     def __init__(
         self,
--- a/gladewalk/nginx/regexes.py
+++ b/gladewalk/nginx/regexes.py
@@ -1,4 +1,4 @@
-"""Regexes by PCRE2, the engine that nginx uses, with a limit on the steps of one match.
+"""Compiles and matches regexes with PCRE2, the engine that nginx uses, and limits the steps of one match.
 
 Alternatives considered: `re2` takes linear time but supports neither look-around nor back-references, so it
 would refuse configurations that nginx accepts. `regex` has a time-out in wall-clock time, so that the result
--- a/gladewalk/nginx/table.py
+++ b/gladewalk/nginx/table.py
@@ -80,8 +80,9 @@
 ):
     """A `rewrite`, `return`, `set`, `break` or `if` directive; `op` has its name.
 
-    The fields in use are `regex`, `value` and `flag` for rewrite, `status` and `value` for return, `variable`
-    and `value` for set, `condition` and the nested `steps` for if.
+    The rows of a block are in the order of the file. The fields in use are `regex`, `value` and `flag` for
+    rewrite, `status` and `value` for return, `variable` and `value` for set, `condition` and the nested
+    `steps` for if.
     """
 
     op: str
