--- a/gladewalk/web/__init__.py
+++ b/gladewalk/web/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP front for imported routing: ordinary HTTP/1.1, a core for each upstream. Off unless set."""
+"""HTTP front for an imported nginx site: ordinary HTTP/1.1, one core for each upstream; off by default."""
--- a/gladewalk/web/front.py
+++ b/gladewalk/web/front.py
@@ -1,7 +1,7 @@
-"""The client side: any HTTP/1.1 request, routed by an imported table, answered by an upstream or locally.
+"""The client side: HTTP/1.1 requests, routed by an imported table to an upstream or to a local response.
 
-Bounds on heads, bodies, pipelined requests and connections, and the timeouts of clients, are those of the
-platform's front (`net/clients.py`), whose classes these extend.
+The limits on heads, bodies, pipelined requests and connections, and the timeouts of clients, are those of the
+platform's front (`net/clients.py`), whose classes the classes here extend.
 """
 
 from __future__ import annotations
@@ -36,52 +36,69 @@
 from .upstream_config import MAX_RESPONSE_MS, NON_IDEMPOTENT_SUFFIX, location_id, object_key
 from .upstream_exchange import UpstreamExchange
 
-LOCAL_CLASS = "-"  # of a request that is answered without an upstream
-FIRST_CLASS = "p0"  # of a request whose location is not among its upstream's
+LOCAL_CLASS = "-"  # request class of a request that gets a local response
+FALLBACK_CLASS = "p0"  # for a request whose location has no request class in its upstream
 SERVICE_UNAVAILABLE = 503
 MIN_RETRY_AFTER_SECONDS = 1
 
 
 @dataclass(slots=True, kw_only=True)
 class RoutedRequest(ProxyRequest):
-    """A request with the exchange of the upstream where it landed; None: it is answered locally."""
+    """A request with the exchange of the upstream that it is routed to.
+
+    Attributes:
+        exchange: The upstream's exchange; None if the request gets a local response.
+    """
 
     exchange: UpstreamExchange | None = None
 
 
 class HttpClientConnection(ClientConnection):
-    """One client's connection."""
+    """One client's connection.
+
+    Attributes:
+        http_front: The listener that accepted the connection.
+        all_fields: The fields of the request that is being read, in order, repeated ones too.
+        landing: Where the routing table sends the open request.
+        is_bodiless: Whether the open request is a HEAD, whose response has no body.
+        is_chunked: Whether the response to the open request is sent chunked, because its length is unknown.
+        upstream_exchange: The exchange of the open request.
+    """
 
     def __init__(self, front: ClientFront) -> None:
         super().__init__(front)
         self.http_front = cast(HttpFront, front)
-        self.all_fields: Fields = []  # of the request that is being read, repeated ones too
-        self.landing: Landing | None = None  # of the open request
-        self.is_bodiless = False  # the open request is a HEAD
-        self.is_chunked = False  # its response has no length
-        self.upstream_exchange: UpstreamExchange | None = None  # of the open request
+        self.all_fields: Fields = []
+        self.landing: Landing | None = None
+        self.is_bodiless = False
+        self.is_chunked = False
+        self.upstream_exchange: UpstreamExchange | None = None
 
     # Reading.
 
     def on_message_begin(self) -> None:
-        """A request's first byte."""
+        """Prepares for the fields of a new request."""
         super().on_message_begin()
         self.all_fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head or the trailer."""
+        """Records a field of the head or the trailer."""
         super().on_header(name, value)
         self.all_fields.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def _read_request(self) -> ClientRequest | int:
-        """Returns the complete request with its landing; raises `BadRequestError`."""
+        """Returns the complete request with its landing.
+
+        Raises:
+            BadRequestError: The request is malformed or its method is not supported.
+        """
         method = self.parser.get_method().decode("latin-1")
         raw_target, raw_host = self._split_target()
         version = self.parser.get_http_version()
         if method == "CONNECT" or (b"upgrade" in self.headers and method == "PRI"):
             raise BadRequestError(405)
         if not raw_host and version == "1.1":
-            raise BadRequestError(400)  # RFC 9112, section 3.2
+            raise BadRequestError(400)  # HTTP/1.1 requires Host (RFC 9112, section 3.2)
         front = self.http_front
         try:
             host = normalise_optional_host(raw_host)
@@ -108,7 +125,7 @@
         return self._build_request(front.router.route(front.listen_key, request), method, body)
 
     def _joined_fields(self) -> dict[str, str]:
-        """Returns the fields by name in lower case, the values of repeated ones joined by commas."""
+        """Returns the fields by their names in lower case; values of repeated fields are joined by commas."""
         fields: dict[str, str] = {}
         for name, value in self.all_fields:
             key = name.lower()
@@ -116,7 +133,10 @@
         return fields
 
     def _split_target(self) -> tuple[str, str]:
-        """Returns the target in origin form and the host; an absolute target's own (RFC 9112, 3.2.2)."""
+        """Returns the target in origin form, and the host.
+
+        The host of an absolute target replaces that of the Host field (RFC 9112, section 3.2.2).
+        """
         raw = self.url.decode("latin-1")
         for scheme in ("http://", "https://"):
             if raw.lower().startswith(scheme):
@@ -148,31 +168,30 @@
         return request
 
     def _class_name(self, exchange: UpstreamExchange, landing: Landing, method: str) -> str:
-        name = FIRST_CLASS
+        name = FALLBACK_CLASS
         if landing.location_row is not None:
-            name = exchange.config.class_names.get(location_id(landing.location_row), FIRST_CLASS)
+            name = exchange.config.class_names.get(location_id(landing.location_row), FALLBACK_CLASS)
         return name + NON_IDEMPOTENT_SUFFIX if method in NON_IDEMPOTENT_METHODS else name
 
-    # One request at a time.
+    # The open request.
 
     def _submit(self, request: ClientRequest) -> None:
         assert isinstance(request, RoutedRequest)
-        if (
-            request.exchange is not None and request.exchange.is_retired
-        ):  # it waited while a table was replaced
+        # A pipelined request that was read before a reload may refer to an upstream that the reload retired.
+        if request.exchange is not None and request.exchange.is_retired:
             front = self.http_front
             landing = front.router.route(front.listen_key, request.landing.state.request)
             request = self._build_request(landing, request.verb, request.body)
         self.landing = request.landing
         self.is_bodiless = request.verb == "HEAD"
         if request.exchange is None:
-            self._answer_locally(request.landing)
+            self._respond_locally(request.landing)
             return
         self.exchange = self.upstream_exchange = request.exchange
         super()._submit(request)
 
-    def _answer_locally(self, landing: Landing) -> None:
-        """Writes the response that the table itself gives: a text, a redirect, a rejection, or a close."""
+    def _respond_locally(self, landing: Landing) -> None:
+        """Writes the text, redirect or status that the routing table states, or closes the connection."""
         self.http_front.counters.add("web.answered_here")
         if landing.status == CLOSE_CONNECTION:
             self.open_number = None
@@ -205,7 +224,7 @@
     # Called by the exchange: the response.
 
     def send_response(self, head: ResponseHead, body: bytes, on_sent: Callable[[], None]) -> None:
-        """Writes a complete response of a server."""
+        """Writes a server's complete, buffered response."""
         self.start_response(head)
         self.write_body(body)
         self._await_sent(on_sent)
@@ -232,7 +251,7 @@
             self._write(encode_chunk(data) if self.is_chunked else data)
 
     def end_response(self) -> None:
-        """Ends a response that was passed on piece by piece."""
+        """Ends a streamed response."""
         if self.is_chunked:
             self._write(LAST_CHUNK)
         self._response_finished()
@@ -244,19 +263,19 @@
         self._release_request()
 
     def pause_writing(self) -> None:
-        """Pauses the response that is being passed on, while the client does not read."""
+        """Pauses the streamed response because the client does not read."""
         super().pause_writing()
         if self.open_number is not None and self.upstream_exchange is not None:
             self.upstream_exchange.set_reading(self.open_number, False)
 
     def resume_writing(self) -> None:
-        """Lets the response go on, and the next request begin."""
+        """Resumes the streamed response, and the next request."""
         if self.open_number is not None and self.upstream_exchange is not None:
             self.upstream_exchange.set_reading(self.open_number, True)
         super().resume_writing()
 
     def send_final(self, final: FinalAnswer, retry_after_ms: float) -> None:
-        """Answers a request that gets no server's response, by its `error_page` if there is one."""
+        """Sends the final answer of a failed or rejected request, or resubmits it if `error_page` applies."""
         request, landing = self.open_request, self.landing
         assert isinstance(request, RoutedRequest) and landing is not None
         is_rejected = final is FinalAnswer.REJECTED
@@ -275,7 +294,7 @@
         self._response_finished()
 
     def _submit_to_error_page(self, request: RoutedRequest, landing: Landing) -> None:
-        """Submits the request again where `error_page` sends it: a new request for its exchange."""
+        """Submits the request again, as a new one, to the place that `error_page` names."""
         self.http_front.counters.add("web.error_pages")
         self.open_number = None
         self._release_request()
@@ -283,13 +302,13 @@
 
 
 class HttpFront(ClientFront):
-    """One listener, which stands for one `listen` of the table.
+    """One listener, which serves one `listen` of the routing table.
 
     Attributes:
-        router: The table in force.
+        router: The router of the routing table in use.
         listen_key: The table's `listen`, `HOST:PORT`.
         upstreams: The exchange of each upstream, by its name.
-        listen_port: The port of `listen_key`, which redirects and variables tell.
+        listen_port: The port of `listen_key`, which redirects and variables contain.
     """
 
     def __init__(
@@ -310,8 +329,8 @@
         self.listen_port = int(listen_key.rpartition(":")[2])
 
     def claim_trace_id(self, request: ClientRequest) -> bool:
-        """Returns True: trace ids are the platform's, requests here have none."""
+        """Returns True: trace ids belong to the platform's protocol, and requests of this front have none."""
         return True
 
     def release_trace_id(self, request: ClientRequest) -> None:
-        """Does nothing: there are no trace ids here."""
+        """Does nothing: the requests of this front have no trace ids."""
--- a/gladewalk/web/messages.py
+++ b/gladewalk/web/messages.py
@@ -1,6 +1,7 @@
-"""HTTP messages between the front and an upstream's servers: which fields are forwarded, and how. No I/O.
+"""HTTP messages between the front and an upstream's servers: which fields are forwarded, and how.
 
 RFC 9110, section 7.6 (connection fields are not forwarded); RFC 9112, section 6 (message body length).
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -20,25 +21,27 @@
 HOP_BY_HOP_FIELDS = frozenset({
     "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
 })  # fmt: skip
-REWRITTEN_FIELDS = HOP_BY_HOP_FIELDS | {"content-length", "expect", "host"}  # of a request
-METHODS_WITH_BODY = ("POST", "PUT", "PATCH")  # they get a Content-Length even for an empty body
-NON_IDEMPOTENT_METHODS = ("POST", "LOCK", "PATCH")  # those that nginx does not send again
-ADD_HEADER_STATUSES = frozenset({200, 201, 204, 206, 301, 302, 303, 304, 307, 308})  # ngx_http_headers_module
+# Fields of a client's request that are not forwarded as received.
+REWRITTEN_FIELDS = HOP_BY_HOP_FIELDS | {"content-length", "expect", "host"}
+METHODS_WITH_BODY = ("POST", "PUT", "PATCH")  # sent with a Content-Length even if the body is empty
+NON_IDEMPOTENT_METHODS = ("POST", "LOCK", "PATCH")  # those that nginx does not retry
+# Statuses with which `add_header` applies without `always` (ngx_http_headers_module).
+ADD_HEADER_STATUSES = frozenset({200, 201, 204, 206, 301, 302, 303, 304, 307, 308})
 BODILESS_STATUSES = frozenset({204, 304})
-RETRYABLE_STATUSES = frozenset({500, 502, 503, 504, 403, 404, 429})  # those of `proxy_next_upstream`
+RETRYABLE_STATUSES = frozenset({500, 502, 503, 504, 403, 404, 429})  # that `proxy_next_upstream` may list
 
 
 @dataclass(slots=True, kw_only=True)
 class ProxyRequest(ClientRequest):
-    """An ordinary HTTP request; the core knows it by its class and its key.
+    """An ordinary HTTP request; the core uses only its class and its key.
 
     Attributes:
-        verb: The request's method (`method` is the core's own).
+        verb: The method in the client's request; `method` is one of the platform's, which the core uses.
         fields: The client's fields, in order.
         landing: Where the routing table sends it.
-        received_ms: When it was complete.
+        received_ms: When the complete request was routed, steady milliseconds.
         failure_status: The status for the client if no attempt succeeds.
-        sent_count: Attempts whose request has been written.
+        sent_count: The number of attempts whose request has been written.
     """
 
     landing: Landing
@@ -50,13 +53,13 @@
 
     @property
     def proxy(self) -> ProxySettings:
-        """The proxy settings of the location."""
+        """The proxy settings of the location that the request is routed to."""
         return self.landing.proxy
 
 
 @dataclass(slots=True)
 class ProxyResponseHead(ResponseHead):
-    """The head of a response that is passed on, whatever its status."""
+    """The head of a response of any status that is forwarded to the client."""
 
     status: int = 200
     fields: Fields = field(default_factory=list)
@@ -67,7 +70,7 @@
     """The result of an attempt at an ordinary server.
 
     Attributes:
-        condition: The word of `proxy_next_upstream` for this end, empty if it is never a failure.
+        condition: The `proxy_next_upstream` condition of the result; empty if it is never a failure.
         response_status: The status for the client if this is the last attempt.
     """
 
@@ -86,13 +89,13 @@
 def sanitize_value(value: str) -> str:
     """Replaces control characters by blanks.
 
-    A variable may hold a decoded line end, which would put a field of its own into the message.
+    A variable may contain a decoded line break, which would inject another field into the message.
     """
     return "".join(char if ord(char) >= 0x20 and ord(char) != 0x7F else " " for char in value)
 
 
 def connection_options(fields: Iterable[tuple[str, str]]) -> frozenset[str]:
-    """Returns the names that the Connection field lists, in lower case: fields of this connection alone."""
+    """Returns the lower-case names in the Connection field: fields that must not be forwarded."""
     names: set[str] = set()
     for name, value in fields:
         if name.lower() == "connection":
@@ -101,21 +104,21 @@
 
 
 def encode_request(request: ProxyRequest) -> bytes:
-    """Encodes a request for a server: the client's fields that are forwarded, and the location's own."""
+    """Encodes a request for a server: the location's `proxy_set_header` fields, then the client's fields."""
     landing = request.landing
     rules = landing.rules
-    own: Fields = []
+    location_fields: Fields = []
     replaced: set[str] = set()
     if rules is not None:
         for name, template in rules.set_fields:
             replaced.add(name.lower())
             value = sanitize_value(template.render(landing.state))
             if value:
-                own.append((name, value))
+                location_fields.append((name, value))
     dropped = REWRITTEN_FIELDS | replaced | connection_options(request.fields)
     lines = [f"{request.verb} {landing.target} HTTP/1.1"]
-    lines += [f"{name}: {value}" for name, value in own]
-    if not any(name.lower() == "host" for name, _ in own):
+    lines += [f"{name}: {value}" for name, value in location_fields]
+    if not any(name.lower() == "host" for name, _ in location_fields):
         lines.append(f"Host: {landing.upstream}")
     lines += [f"{name}: {value}" for name, value in request.fields if name.lower() not in dropped]
     if request.body or request.verb in METHODS_WITH_BODY:
@@ -124,27 +127,27 @@
 
 
 def response_fields(landing: Landing, status: int, fields: Fields) -> Fields:
-    """Returns the fields of a server's response that go to the client, and the location's own."""
+    """Returns the forwarded fields of a server's response, then the location's `add_header` fields."""
     hidden = set(landing.proxy.hide_fields)
     dropped = HOP_BY_HOP_FIELDS | {"content-length"} | connection_options(fields) | hidden
-    passed = [(name, value) for name, value in fields if name.lower() not in dropped]
+    forwarded = [(name, value) for name, value in fields if name.lower() not in dropped]
     if landing.proxy.redirect == "default":
-        passed = [
+        forwarded = [
             (name, rewrite_location(landing, value) if name.lower() == "location" else value)
-            for name, value in passed
+            for name, value in forwarded
         ]
-    return passed + added_fields(landing, status)
+    return forwarded + added_fields(landing, status)
 
 
 def added_fields(landing: Landing, status: int) -> Fields:
-    """Returns the fields that `add_header` sets at the request's location, or at its server without one."""
+    """Returns the `add_header` fields of the request's location, or of its virtual server without one."""
     rules = landing.rules
-    found = []
+    rendered = []
     for added in rules.added_fields if rules is not None else landing.server.added_fields:
         value = sanitize_value(added.value.render(landing.state))
         if value and (added.is_always or status in ADD_HEADER_STATUSES):
-            found.append((added.name, value))
-    return found
+            rendered.append((added.name, value))
+    return rendered
 
 
 def rewrite_location(landing: Landing, location: str) -> str:
@@ -160,5 +163,5 @@
 
 
 def condition_of_status(status: int) -> str:
-    """Returns the word of `proxy_next_upstream` for a complete response, empty if it is never a failure."""
+    """Returns the `proxy_next_upstream` condition of a complete response; empty if it is never a failure."""
     return f"http_{status}" if status in RETRYABLE_STATUSES else ""
--- a/gladewalk/web/passive_health.py
+++ b/gladewalk/web/passive_health.py
@@ -1,9 +1,14 @@
 """Passive health checks: which servers of an upstream may be sent requests.
 
-ngx_http_upstream_module, `server`: `max_fails` failures within `fail_timeout` make a server unavailable for
-as long; `max_conns` bounds the requests in flight at it; a `backup` is used while no other server is
-available; one that is `down` is never used. The only server of an upstream never counts as failed. Decides
-without I/O; the core routes among the available servers.
+The rules are those of the directive `server` in ngx_http_upstream_module:
+
+- `max_fails` failures within `fail_timeout` make a server unavailable for the duration of `fail_timeout`.
+- `max_conns` limits the requests in flight at a server.
+- A `backup` server is used only while no other server is available.
+- A server that is `down` is never used.
+- The only server of an upstream never counts as failed.
+
+The core routes among the available servers. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -25,7 +30,7 @@
 class PassiveHealthCheck:
     """The availability of one upstream's servers, by address.
 
-    All instants are milliseconds of one clock and given as arguments.
+    All instants are milliseconds of one clock, passed as arguments.
 
     Attributes:
         is_single_server: Whether the upstream has one server, which then never counts as failed.
@@ -34,9 +39,9 @@
     def __init__(self, servers: Sequence[UpstreamServerRow]) -> None:
         self._health = {server.address: _ServerHealth(server) for server in servers}
         self.is_single_server = len(servers) == 1
-        self._reported: dict[str, bool] = {}  # as `availability_changes` returned it last
+        self._reported: dict[str, bool] = {}  # the state at the last call of `availability_changes`
 
-    def knows(self, address: str) -> bool:
+    def has_server(self, address: str) -> bool:
         """Returns whether the address is a server of this upstream."""
         return address in self._health
 
@@ -45,13 +50,16 @@
         self._health[address].in_flight += 1
 
     def request_ended(self, address: str, has_failed: bool, now_ms: float) -> None:
-        """Counts the end of a request that was written; a failure is one by `proxy_next_upstream`."""
+        """Counts the end of a request that was written; `proxy_next_upstream` decides what is a failure."""
         health = self._health[address]
         health.in_flight = max(0, health.in_flight - 1)
         self.record_result(address, has_failed, now_ms)
 
     def record_result(self, address: str, has_failed: bool, now_ms: float) -> None:
-        """Counts a success, which clears earlier failures, or a failure, also of a request never written."""
+        """Counts a failure, or a success, which clears earlier failures.
+
+        This also applies to a request that was never written.
+        """
         health = self._health[address]
         server = health.server
         if not has_failed:
@@ -66,14 +74,14 @@
             health.failure_times_ms.clear()
 
     def is_available(self, address: str, now_ms: float) -> bool:
-        """Returns whether a server may be sent a request, apart from the rule for backups."""
+        """Returns whether a server may be sent a request, if the rule for backups is ignored."""
         health = self._health[address]
         server = health.server
         is_full = server.max_conns > 0 and health.in_flight >= server.max_conns
         return not server.is_down and not is_full and now_ms >= health.unavailable_until_ms
 
     def ready_servers(self, now_ms: float) -> dict[str, bool]:
-        """Returns of every address whether it is ready: a backup only while no other server is available."""
+        """Returns whether each address is ready; a backup is only while no other server is available."""
         available = {address: self.is_available(address, now_ms) for address in self._health}
         has_primary = any(
             available[address] and not health.server.is_backup for address, health in self._health.items()
@@ -84,7 +92,7 @@
         }
 
     def availability_changes(self, now_ms: float) -> dict[str, bool]:
-        """Returns what has changed since the last call of this method; at the first, all addresses."""
+        """Returns the addresses whose readiness changed since the last call; at the first call, all."""
         ready = self.ready_servers(now_ms)
         changed = {
             address: is_ready
@@ -95,7 +103,7 @@
         return changed
 
     def next_recovery_ms(self, now_ms: float) -> float | None:
-        """Returns the instant at which the next failed server becomes available, None if there is none."""
+        """Returns when the next failed server becomes available again; None if no server has failed."""
         return min(
             (
                 health.unavailable_until_ms
--- a/gladewalk/web/start.py
+++ b/gladewalk/web/start.py
@@ -20,14 +20,17 @@
 
 MIN_CONNECTIONS_PER_UPSTREAM = 4
 MIN_CONNECTIONS_PER_LISTENER = 1
-# A table that proxies nothing still needs an exchange for its connections; nothing is ever sent to it.
+# Client connections need an exchange even if the routing table has no upstream. Its only server is marked as
+# down, so no request is sent to this address.
 UNUSED_UPSTREAM = UpstreamRow(
     name="-", defined_at="-", servers=[UpstreamServerRow(address="127.0.0.1:1", defined_at="-", is_down=True)]
 )
 
 
 def load_routing(options: Options) -> tuple[Router, dict[Address, str]]:
-    """Loads the routing table, and where to listen: each address with the `listen` that it stands for.
+    """Loads the routing table, and returns its router and the addresses to listen on.
+
+    Each address is mapped to the `listen` of the table that is served there.
 
     Raises:
         ConfigError: The table or a listener cannot be used.
@@ -57,7 +60,7 @@
 
 
 class HttpProxy:
-    """The whole front: the exchanges of its upstreams and its listeners.
+    """The HTTP front: its listeners and the exchanges of its upstreams.
 
     Attributes:
         upstreams: The exchange of each upstream, by its name.
@@ -74,7 +77,11 @@
         counters: Counters,
         log: Callable[[str], None],
     ) -> None:
-        """Builds everything but opens nothing; raises `ConfigError`."""
+        """Builds exchanges and listeners without opening a socket.
+
+        Raises:
+            ConfigError: The table or a listener cannot be used.
+        """
         self._name, self._seed, self._clock = name, seed, clock
         self._deadlines, self._counters, self._log = deadlines, counters, log
         self.upstreams: dict[str, UpstreamExchange] = {}
@@ -100,7 +107,10 @@
         ]
 
     def _replace_upstreams(self, router: Router, table: FrontHttpOptions) -> list[UpstreamExchange]:
-        """Takes a table's upstreams; one that is unchanged keeps its core. Returns the new exchanges."""
+        """Replaces the upstreams by those of a table and returns the new exchanges.
+
+        An unchanged upstream keeps its exchange and core; one that was changed or removed is retired.
+        """
         rows = router.site.upstreams or [UNUSED_UPSTREAM]
         connection_share = max(MIN_CONNECTIONS_PER_UPSTREAM, table.max_upstream_connections // len(rows))
         previous, self.upstreams = self.upstreams, {}
@@ -133,14 +143,14 @@
         return exchange
 
     def start(self) -> None:
-        """Starts the exchanges and listens."""
+        """Starts the exchanges and opens the listeners."""
         for exchange in self.upstreams.values():
             exchange.start()
         for front, address in zip(self.fronts, self._listeners, strict=True):
             front.listen(address)
 
     def reload(self, options: Options, router: Router) -> None:
-        """Replaces the table from the next request on; other listeners need a restart."""
+        """Replaces the table for requests read from now on; changed listeners take effect at a restart."""
         table = options.front.http
         assert table is not None
         for exchange in self._replace_upstreams(router, table):
@@ -150,7 +160,7 @@
 
     @property
     def unanswered_count(self) -> int:
-        """Requests without their final answer."""
+        """The number of requests that have not had their final answer."""
         return sum(exchange.unanswered_count for exchange in self.upstreams.values())
 
     def close(self) -> None:
--- a/gladewalk/web/streaming.py
+++ b/gladewalk/web/streaming.py
@@ -1,8 +1,8 @@
-"""Responses that are too large to be held: passed on piece by piece, as nginx does beyond its buffers.
+"""Streams responses that are too large to buffer, as nginx does when a response exceeds its buffers.
 
-A response of known length up to `MAX_OBJECT_BYTES` is held whole by the exchange. A larger one, or one
-whose length shows only at its end, has no bound: it goes to the client as it comes, and one that breaks off
-ends the client's connection.
+The exchange buffers a response completely if its length is known and at most `MAX_OBJECT_BYTES`. A larger
+response, or one whose length is not known before its end, is streamed: each piece is forwarded to the client
+when it is received. If the server's response breaks off, the client's connection is closed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class StreamWriter(Protocol):
-    """The client side of a response that is passed on piece by piece."""
+    """The client side of a streamed response."""
 
     def start_response(self, head: ResponseHead) -> None:
         """Sends the head of a server's response."""
@@ -33,14 +33,14 @@
         """Ends a complete response."""
 
     def abort_response(self) -> None:
-        """Closes the connection: the client must see that a response that has begun is incomplete."""
+        """Closes the connection, so that the client sees that the response it was receiving is incomplete."""
 
 
 class StreamingExchange(Exchange):
-    """An exchange that passes on what is too large to be held.
+    """An exchange that streams responses that are too large to buffer.
 
     Attributes:
-        streams: The attempts whose responses are being passed on, by the numbers of their requests.
+        streams: The attempts whose responses are being streamed, by the numbers of their requests.
     """
 
     def __init__(
@@ -55,17 +55,22 @@
         self.streams: dict[int, Attempt] = {}
 
     def is_streaming(self, opened: OpenRequest) -> bool:
-        """Whether a part of a response has gone to the request's client."""
+        """Whether a response to the request is being streamed: part of it has been sent to the client."""
         return opened.number in self.streams
 
     def set_reading(self, number: int, on: bool) -> None:
-        """Pauses or resumes (`on`) the response that is being passed on, as the client's buffer fills."""
+        """Resumes (`on`) or pauses reading a streamed response when the client's buffer drains or fills."""
         attempt = self.streams.get(number)
         if attempt is not None:
             self._set_reading(attempt, on)
 
     def response_started(self, attempt: Attempt, head: ResponseHead) -> bool:
-        """Holds a response, or begins to pass it on; False if it is not wanted and the attempt was ended."""
+        """Buffers a response or starts to stream it.
+
+        Returns:
+            False if the request has been answered or another response to it is being streamed; the attempt is
+            then cancelled.
+        """
         opened = attempt.open_request
         if opened.is_answered or self.is_streaming(opened):
             self._cancel(attempt)
@@ -83,7 +88,7 @@
         return True
 
     def response_body(self, attempt: Attempt, data: bytes) -> None:
-        """Holds a piece of the body, or passes it on."""
+        """Buffers a piece of the body, or forwards it if the response is streamed."""
         opened = attempt.open_request
         if self.streams.get(opened.number) is not attempt:
             super().response_body(attempt, data)
@@ -91,7 +96,7 @@
             _writer(opened).write_body(data)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Ends the response that the attempt passed on, and goes on as the base class does."""
+        """Ends the response that the attempt streamed, if any, and then the attempt itself."""
         opened = attempt.open_request
         if self.streams.get(opened.number) is attempt:
             del self.streams[opened.number]
--- a/gladewalk/web/upstream_config.py
+++ b/gladewalk/web/upstream_config.py
@@ -2,7 +2,7 @@
 
 Each upstream has a core of its own. Each nginx location that proxies to it is a request class, once for
 methods that may be retried and once, under the name with `NON_IDEMPOTENT_SUFFIX`, for those that may not.
-No I/O.
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -18,27 +18,32 @@
 from ..nginx.table import LocationRow, Site, UpstreamRow, UpstreamServerRow
 from .passive_health import PassiveHealthCheck
 
-MAX_QUEUE_MS = 1_000.0  # for which a request waits if no server can take it now
-MAX_RESPONSE_MS = 3_600_000.0  # for a complete response; the location's own timeouts find what stalls
-PRIORITY_WEIGHT = 6.0  # of each request: locations without capacity shed a part of them, not all at once
-SERVER_IDLE_TIMEOUT_MS = 5_000.0  # after which servers are assumed to close an idle connection
-DEFAULT_CONNECT_TIMEOUT_MS = 60_000.0  # of nginx's proxy_connect_timeout
+MAX_QUEUE_MS = 1_000.0  # how long a request may wait while no server can accept it
+# Deadline of a complete response; a stalled response is ended earlier by the timeouts of its location.
+MAX_RESPONSE_MS = 3_600_000.0
+# Of each request: with this weight, a location without enough capacity rejects part of its requests rather
+# than all of them at once.
+PRIORITY_WEIGHT = 6.0
+SERVER_IDLE_TIMEOUT_MS = 5_000.0  # servers are assumed to close a connection that was idle for this long
+DEFAULT_CONNECT_TIMEOUT_MS = 60_000.0  # the default of nginx's proxy_connect_timeout
 MAX_RETRY_AFTER_MS = 1_000.0
 ZONE = "upstream"
 NON_IDEMPOTENT_SUFFIX = "!"
-DEFAULT_CLASS = "p"  # of an upstream that no location proxies to
+# The only request class of an upstream that no location proxies to; prefix of the class names of locations.
+DEFAULT_CLASS = "p"
 
 
 @dataclass(slots=True)
 class UpstreamConfig:
-    """One upstream as its core and its connection pool are configured.
+    """The configuration of one upstream for its core and its connection pool.
 
     Attributes:
         upstream: The row of the routing table.
         platform: The core's configuration.
         health: Which servers may be sent requests.
-        addresses: Where each server is dialled, by its name.
-        class_names: The request class for methods that may be retried, by `location_id`.
+        addresses: The address to which connections to each server are opened, by the server's name.
+        class_names: The name of each location's request class for methods that may be retried, by
+            `location_id`.
     """
 
     upstream: UpstreamRow
@@ -48,7 +53,7 @@
     class_names: dict[str, str]
 
     def endpoints(self, ready: Mapping[str, bool]) -> tuple[api.Server, ...]:
-        """Returns the endpoint list's entries of the servers named; one that is not ready is draining."""
+        """Returns endpoint list entries for the servers in `ready`; one that is not ready is draining."""
         return tuple(
             build_endpoint(server, ready[server.address])
             for server in self.upstream.servers
@@ -56,7 +61,7 @@
         )
 
     def is_equivalent(self, other: UpstreamConfig) -> bool:
-        """Returns whether a core for one would do for the other: servers, classes and limits are equal."""
+        """Returns whether servers, classes and limits are equal, so that a core for one fits the other."""
         return (self.upstream.servers, self.platform.settings) == (
             other.upstream.servers,
             other.platform.settings,
@@ -64,7 +69,7 @@
 
 
 def build_endpoint(server: UpstreamServerRow, is_ready: bool) -> api.Server:
-    """Builds the endpoint list's entry of a server."""
+    """Builds the endpoint list entry of a server."""
     return api.Server(
         server.address,
         api.Role.CACHE,
@@ -91,7 +96,7 @@
 
 
 def location_id(location: LocationRow) -> str:
-    """Returns what identifies a location in its table, and in a table that is imported again."""
+    """Returns a location's identifier, which stays the same when its site is imported again."""
     return f"{location.defined_at} {location.directive}"
 
 
@@ -110,9 +115,9 @@
         site: The routing table.
         upstream: The row of the upstream.
         director_name: The name of this process on the platform.
-        seed: Of the core's random choices.
-        max_client_connections: Connections of clients to the whole front.
-        max_upstream_connections: Connections to this upstream.
+        seed: The seed of the core's random choices.
+        max_client_connections: Limit of client connections to the whole front.
+        max_upstream_connections: Limit of connections to this upstream.
     """
     locations = [
         location
@@ -178,7 +183,7 @@
 
 
 def object_key(landing: Landing) -> int:
-    """Returns an object's key: the hash of `proxy_cache_key`, else of the upstream and the target."""
+    """Returns an object's key: the hash of `proxy_cache_key`, or of upstream and target if it is not set."""
     rules = landing.rules
     if rules is not None and rules.cache_key is not None:
         text = rules.cache_key.render(landing.state)
--- a/gladewalk/web/upstream_exchange.py
+++ b/gladewalk/web/upstream_exchange.py
@@ -21,19 +21,21 @@
     api.Status.TIMEOUT: "timeout",
     api.Status.ERROR: "invalid_header",
 }
-ALWAYS_FAILURES = frozenset({"error", "timeout", "invalid_header"})  # whatever `proxy_next_upstream` lists
+# Conditions that count, or never count, towards `max_fails`, whatever `proxy_next_upstream` lists.
+ALWAYS_FAILURES = frozenset({"error", "timeout", "invalid_header"})
 NEVER_FAILURES = frozenset({"", "http_403", "http_404"})
 
 
 class UpstreamExchange(StreamingExchange):
-    """Routes one upstream's requests by a core of its own.
+    """Routes the requests of one upstream with a separate core.
 
-    The core decides where a request goes and whether it is retried; what `proxy_next_upstream` and its limits
-    rule out is ended here before the core hears of the failure.
+    The core decides which server a request is sent to and whether it is retried. If `proxy_next_upstream` and
+    its limits allow no retry, this class ends the request before it notifies the core of the failure.
 
     Attributes:
         config: Servers, request classes and limits.
-        is_retired: Whether another table has replaced this upstream: open requests are answered, none is new.
+        is_retired: Whether a reload has replaced this upstream; open requests are completed, and no new ones
+            are submitted.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         self._recovery_timer: DeadlineKey | None = None
 
     def start(self) -> None:
-        """Lists the servers to the core and starts the pool's maintenance."""
+        """Sends the endpoint list to the core and starts the periodic sweep of the pool."""
         assert isinstance(self.upstreams, ConnectionPool)
         endpoints = self.config.endpoints(self.config.health.availability_changes(self.clock()))
         event = api.EndpointList(api.EndpointListKind.PERSISTED, endpoints)
@@ -59,18 +61,21 @@
         self.upstreams.sweep()
 
     def retire(self) -> None:
-        """Lets open requests end; no timer of this upstream remains after the last of them."""
+        """Marks this upstream as replaced.
+
+        Open requests are completed; no timer of this upstream remains after the last of them.
+        """
         assert isinstance(self.upstreams, ConnectionPool)
         self.is_retired = self.upstreams.is_retired = True
         self.deadlines.drop(self._recovery_timer)
 
     def handle_event(self, event: api.Event) -> None:
-        """Passes an event to the core, except for a timer after the last request of a retired upstream."""
+        """Sends an event to the core, except for timers of a retired upstream without open requests."""
         if not (self.is_retired and not self.open_requests and isinstance(event, api.Timer)):
             super().handle_event(event)
 
     def request_written(self, attempt: Attempt) -> None:
-        """Notes that an attempt's request is being written: its server may execute it from now on."""
+        """Records that an attempt's request is being written; from now on its server may execute it."""
         self._written.add(id(attempt))
         self.config.health.request_sent(attempt.decision.server)
         request = attempt.open_request.request
@@ -85,7 +90,7 @@
         return condition in request.proxy.retry_on and self._may_retry(request, condition)
 
     def _may_retry(self, request: ProxyRequest, condition: str) -> bool:
-        """Applies `proxy_next_upstream`, its limits, and whether there is another server."""
+        """Returns whether `proxy_next_upstream` and its limits allow a retry, and another server is left."""
         proxy = request.proxy
         if condition not in proxy.retry_on:
             return False
@@ -99,9 +104,9 @@
         return request.sent_count < len(self.config.upstream.servers)
 
     def _may_retry_unsent(self, request: ProxyRequest) -> bool:
-        """Returns whether a request that was never written may go elsewhere, whatever its method.
+        """Returns whether a request that was never written may be retried, whatever its method.
 
-        The core knows which servers it has attempted.
+        There is no check for a remaining server here: the core knows which servers it has attempted.
         """
         proxy = request.proxy
         if "error" not in proxy.retry_on:
@@ -114,7 +119,7 @@
         return proxy.retry_timeout_ms > 0 and self.clock() - request.received_ms >= proxy.retry_timeout_ms
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Records the result for the server's health and ends the request if nginx's rules allow no retry."""
+        """Records the result for the server's health; ends the request if nginx's rules allow no retry."""
         opened, request = attempt.open_request, attempt.open_request.request
         if attempt.number in opened.attempts and isinstance(request, ProxyRequest):
             self._record_health(attempt, request, result)
@@ -137,7 +142,7 @@
             self._fail_request(attempt)
 
     def _fail_request(self, attempt: Attempt) -> None:
-        """Answers the client now; the core learns of it by the attempt's end."""
+        """Sends the final answer to the client; the core is notified when the attempt ends."""
         opened = attempt.open_request
         self._close(opened)
         self.counters.add("answers.failed")
@@ -146,9 +151,9 @@
     # Health.
 
     def _record_health(self, attempt: Attempt, request: ProxyRequest, result: AttemptResult) -> None:
-        """Records a result before the core is asked for a retry, which may need a backup now."""
+        """Records a result before the core decides on a retry, because it may make a backup available."""
         health, server, now_ms = self.config.health, attempt.decision.server, self.clock()
-        if not health.knows(server):
+        if not health.has_server(server):
             return
         has_failed = result.status in CONDITIONS and _is_failure(_condition_of(result), request.proxy)
         if id(attempt) in self._written:
@@ -158,7 +163,7 @@
         self._update_availability()
 
     def _update_availability(self) -> None:
-        """Tells the core which servers may be sent requests, where that has changed."""
+        """Notifies the core of servers whose availability has changed, and schedules the next recovery."""
         now_ms = self.clock()
         health = self.config.health
         changed = health.availability_changes(now_ms)
@@ -179,7 +184,7 @@
 
 
 def _is_failure(condition: str, proxy: ProxySettings) -> bool:
-    """Returns whether a condition counts as an unsuccessful attempt at a server (`max_fails`)."""
+    """Returns whether a condition counts as a failure of the server (`max_fails`)."""
     if condition in ALWAYS_FAILURES:
         return True
     return condition not in NEVER_FAILURES and condition in proxy.retry_on
