--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -107,7 +107,7 @@
     async def test_fields_bodies_and_ranges_are_forwarded_as_http_requires(self) -> None:
         requests: list[ReceivedRequest] = []
 
-        async def respond(received: ReceivedRequest) -> None:
+        async def respond_by_request(received: ReceivedRequest) -> None:
             requests.append(received)
             if received.path == "/chunked":
                 received.writer.write(
@@ -137,8 +137,8 @@
                 proxy_set_header X-Real $remote_addr;
                 proxy_set_header X-Forwarded-For $proxy_add_x_forwarded_for; proxy_set_header Accept ""; }
               location /p/ { proxy_pass http://a/s/; } }""")
-        async with SiteHarness(site, {"a/0": respond}) as harness:
-            response = await harness.fetch(
+        async with SiteHarness(site, {"a/0": respond_by_request}) as harness:
+            client_response = await harness.fetch(
                 "/x",
                 method="PUT",
                 body=b"body",
@@ -149,29 +149,35 @@
             )
             received = requests[-1]
             self.assertEqual(
-                (response.status, response.body, response.headers["set-cookie"]), (201, b"body", "a=1")
+                (client_response.status, client_response.body, client_response.headers["set-cookie"]),
+                (201, b"body", "a=1"),
             )
             self.assertEqual(
-                (response.headers["x-from"], "server" in response.headers), ("example.com", False)
+                (client_response.headers["x-from"], "server" in client_response.headers),
+                ("example.com", False),
             )
             expected = {"host": "example.com", "x-real": "127.0.0.1",
                         "x-forwarded-for": "10.0.0.9, 127.0.0.1",
                         "cookie": "c=d", "content-length": "4"}  # fmt: skip
             self.assertEqual(received.headers, expected)
-            response = await harness.fetch("/p/y", method="POST", body=b"z")
+            client_response = await harness.fetch("/p/y", method="POST", body=b"z")
             self.assertEqual((requests[-1].path, requests[-1].headers["host"]), ("/s/y", "a"))
-            self.assertEqual(response.headers["location"], "http://example.com:8080/p/there")
-            response = await harness.fetch("/x", Range="bytes=0-3")
+            self.assertEqual(client_response.headers["location"], "http://example.com:8080/p/there")
+            client_response = await harness.fetch("/x", Range="bytes=0-3")
             self.assertEqual(
-                (response.status, response.body, response.headers["content-range"]),
+                (client_response.status, client_response.body, client_response.headers["content-range"]),
                 (206, b"part", "bytes 0-3/9"),
             )
-            self.assertNotIn("x-hop", response.headers)
-            response = await harness.fetch("/x", If_None_Match='"e"')
-            self.assertEqual((response.status, response.headers["etag"], response.body), (304, '"e"', b""))
-            response = await harness.fetch("/x", method="HEAD")
+            self.assertNotIn("x-hop", client_response.headers)
+            client_response = await harness.fetch("/x", If_None_Match='"e"')
             self.assertEqual(
-                (response.status, response.headers["content-length"], response.body), (200, "7", b"")
+                (client_response.status, client_response.headers["etag"], client_response.body),
+                (304, '"e"', b""),
+            )
+            client_response = await harness.fetch("/x", method="HEAD")
+            self.assertEqual(
+                (client_response.status, client_response.headers["content-length"], client_response.body),
+                (200, "7", b""),
             )
             self.assertEqual((await harness.fetch("/chunked")).body, b"abc")
             self.assertEqual((await harness.fetch("/close")).body, b"to the end")
--- a/tests/test_web_failures.py
+++ b/tests/test_web_failures.py
@@ -61,8 +61,8 @@
         async with SiteHarness(
             site_of(TWO_SERVERS % "proxy_next_upstream http_503;"), {"a/0": busy}
         ) as harness:
-            servers = {(await harness.fetch(f"/{n}")).server for n in range(12)}
-            self.assertEqual(servers, {"a/1"})
+            server_names = {(await harness.fetch(f"/{n}")).server for n in range(12)}
+            self.assertEqual(server_names, {"a/1"})
         both = {"a/0": busy, "a/1": busy}
         async with SiteHarness(site_of(TWO_SERVERS % "proxy_next_upstream http_503;"), both) as harness:
             # The last response is forwarded when all servers have been attempted.
@@ -107,8 +107,8 @@
             server 127.0.0.1:4 down; }
             server { location / { proxy_pass http://a; } }""")
         async with SiteHarness(site) as harness:
-            servers = {(await harness.fetch(f"/{n}")).server for n in range(16)}
-            self.assertEqual(servers, {"a/0", "a/1"})
+            primaries = {(await harness.fetch(f"/{n}")).server for n in range(16)}
+            self.assertEqual(primaries, {"a/0", "a/1"})
             harness.servers["a/0"].script = harness.servers["a/1"].script = self.abort
             responses = [await harness.fetch(f"/b{n}") for n in range(8)]
             self.assertEqual({response.server for response in responses}, {"a/2"})
