--- a/gladewalk/web/connection.py
+++ b/gladewalk/web/connection.py
@@ -27,8 +27,9 @@
 
 FIRST_FINAL_STATUS = 200  # lower statuses are interim responses (RFC 9110, section 15.2)
 SWITCHING_PROTOCOLS = 101
-# Of a response that is retried elsewhere, the body is read and discarded up to this size, so that its
-# connection can be reused; a longer one counts as an invalid response and closes the connection.
+# If a request is retried elsewhere because of the status of a response, the body of that response is read and
+# discarded up to this size, so that the connection can be reused. A longer body counts as an invalid response
+# and closes the connection.
 MAX_DISCARDED_BYTES = MAX_OBJECT_BYTES
 
 
--- a/gladewalk/web/front.py
+++ b/gladewalk/web/front.py
@@ -269,7 +269,7 @@
             self.upstream_exchange.set_reading(self.open_number, False)
 
     def resume_writing(self) -> None:
-        """Resumes the streamed response, and the next request."""
+        """Resumes the streamed response and allows the next request to start."""
         if self.open_number is not None and self.upstream_exchange is not None:
             self.upstream_exchange.set_reading(self.open_number, True)
         super().resume_writing()
--- a/gladewalk/web/passive_health.py
+++ b/gladewalk/web/passive_health.py
@@ -81,7 +81,10 @@
         return not server.is_down and not is_full and now_ms >= health.unavailable_until_ms
 
     def ready_servers(self, now_ms: float) -> dict[str, bool]:
-        """Returns whether each address is ready; a backup is only while no other server is available."""
+        """Returns whether each server is ready, by address.
+
+        A backup is ready only while no other server is available.
+        """
         available = {address: self.is_available(address, now_ms) for address in self._health}
         has_primary = any(
             available[address] and not health.server.is_backup for address, health in self._health.items()
--- a/gladewalk/web/upstream_config.py
+++ b/gladewalk/web/upstream_config.py
@@ -21,8 +21,8 @@
 MAX_QUEUE_MS = 1_000.0  # how long a request may wait while no server can accept it
 # Deadline of a complete response; a stalled response is ended earlier by the timeouts of its location.
 MAX_RESPONSE_MS = 3_600_000.0
-# Of each request: with this weight, a location without enough capacity rejects part of its requests rather
-# than all of them at once.
+# The priority weight of each request: with it, a location without enough capacity rejects part of its
+# requests rather than all of them at once.
 PRIORITY_WEIGHT = 6.0
 SERVER_IDLE_TIMEOUT_MS = 5_000.0  # servers are assumed to close a connection that was idle for this long
 DEFAULT_CONNECT_TIMEOUT_MS = 60_000.0  # the default of nginx's proxy_connect_timeout
