--- a/gladewalk/nginx/variables.py
+++ b/gladewalk/nginx/variables.py
@@ -18,8 +18,8 @@
 VARIABLE = re.compile(r"\$(?:\{([A-Za-z0-9_]+)\}|([A-Za-z0-9_]+))")
 CAPTURE = re.compile(r"[0-9]\Z")
 VARIABLE_PREFIXES = ("arg_", "http_", "cookie_")
-# The limit of nested evaluations of maps whose values use other maps. It ends cycles of maps, which nginx ends
-# as well.
+# The limit of nested evaluations of maps whose values use other maps. It ends a cycle of maps; nginx ends
+# such a cycle, too.
 MAX_EVALUATION_DEPTH = 16
 DEFAULT_PROXY_PORT = "80"
 
