--- a/gladewalk/rehearsal/lease_simulation.py
+++ b/gladewalk/rehearsal/lease_simulation.py
@@ -113,7 +113,7 @@
 
     def verdict(self) -> Verdict:
         """Checks the resource's record up to now; overlapping beliefs count as overlaps too."""
-        verdict = check(self.fence.records, self.now_ms, self.excused)
+        verdict = check_history(self.fence.records, self.now_ms, self.excused)
         return dataclasses.replace(verdict, overlaps=verdict.overlaps + self.beliefs.count_overlaps())
 
     # The event loop of a director.
