--- a/gladewalk/rehearsal/lease_faults.py
+++ b/gladewalk/rehearsal/lease_faults.py
@@ -6,9 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SCHEDULE_SEED_MASK = (
-    0x5EED  # keeps the draws of schedules apart from those of a simulation with the same seed
-)
+SCHEDULE_SEED_MASK = 0x5EED  # separates the draws of schedules from a simulation's with the same seed
 FIRST_FAULT_MS = 1_500.0  # by then each lease has a holder
 QUIET_END_MS = 4_000.0  # no fault begins within this time of the run's end, so that each ends before the end
 FAULT_DURATION_MS = (200.0, 2_500.0)
--- a/gladewalk/rehearsal/member_network.py
+++ b/gladewalk/rehearsal/member_network.py
@@ -303,7 +303,7 @@
         probe: StartConfirmationProbe,
         outcome: ProbeOutcome,
     ) -> None:
-        """Reports the outcome of a confirmation probe, even if the target was stopped meanwhile."""
+        """Reports a confirmation probe's outcome, updated if the target was stopped meanwhile."""
         if not node.is_up or self.now_ms < node.paused_until_ms:
             return
         now_ms = self.clock_of(node)
--- a/gladewalk/rehearsal/resolver.py
+++ b/gladewalk/rehearsal/resolver.py
@@ -40,7 +40,8 @@
 
     Args:
         server: The name server's address.
-        min_cache_s: The least time for which an answer is cached, even if its TTL is shorter.
+        min_cache_s: The least time for which an answer is cached, even if its TTL is shorter;
+            0 always uses the TTL.
         source_host: The address that queries are sent from.
     """
 
--- a/gladewalk/rehearsal/task_simulation.py
+++ b/gladewalk/rehearsal/task_simulation.py
@@ -21,7 +21,7 @@
 
 CHECK_LATENCY_MS = 1.0
 CHECK_KIND = "load"
-MAX_FINDING_AGE_MS = 3_000.0  # older results of checks are ignored
+MAX_RESULT_AGE_MS = 3_000.0  # older results of other members are ignored
 RESUME_DELAY_MS = 0.01  # after a pause, so that messages received during it are handled first
 SEED_COUNT = 2  # members that the others know at their start
 
@@ -161,7 +161,7 @@
             VirtualScheduler(self, node),
             Counters(),
             random.Random(self.random.random()),
-            MAX_FINDING_AGE_MS,
+            MAX_RESULT_AGE_MS,
             self.checks_per_second,
         )
         if self.ranks is not None:
