--- a/gladewalk/limits/admission_price.py
+++ b/gladewalk/limits/admission_price.py
@@ -13,7 +13,7 @@
 TARGET_UTILIZATION = 0.9  # of the connection limit; the rest is headroom for bursts
 MIN_PRICE = 2e-3  # priority weight per millisecond; at this price nothing is shed
 MAX_PRICE = 0.01  # admits small requests even while requests to unresponsive servers hold all connections
-CONNECTION_OVERHEAD_MS = 20.0  # measured time that a request holds its connection beyond its transfer time
+CONNECTION_OVERHEAD_MS = 20.0  # time that a request holds its connection beyond its transfer time
 
 
 class AdmissionPrice:
--- a/gladewalk/limits/concurrency.py
+++ b/gladewalk/limits/concurrency.py
@@ -11,12 +11,12 @@
 import math
 
 INITIAL_CAPACITY = 4.0  # assumed concurrent transfers of a server about which nothing is known
-MIN_FRACTION = 0.5  # of an estimate that a server is assumed to handle; listed link capacities are inexact
+MIN_FRACTION = 0.5  # a server is assumed to handle this part of an estimate, as listed links are inexact
 MAX_FACTOR = 3.0  # by which a learned capacity may exceed its estimate, or fall below it
-FILL_FRACTION = 0.75  # of the slowdown that still meets the objective, up to which a server is loaded
+FILL_FRACTION = 0.75  # a server is loaded up to this fraction of the slowdown that still meets the objective
 SPREAD_DEVIATIONS = 0.8  # standard deviations by which one sender's share of the traffic may exceed the mean
 EWMA_ALPHA = 0.05  # weight of a new sample in moving averages
-LOADED_LINK_EWMA_ALPHA = 0.002  # weight in the latency baseline of a response over a link under higher load
+LOADED_LINK_EWMA_ALPHA = 0.002  # weight of a response over a more loaded link in the latency baseline
 SHARED_LINK_LOG_SLOWDOWN = 0.15  # log slowdown above which transfers are assumed to share the link's capacity
 GAIN = 0.02  # fraction of the difference to a newly observed capacity by which the capacity is adjusted
 LIGHT_LOAD_FRACTION = 0.7  # fraction of the capacity in flight up to which a link counts as lightly loaded
--- a/gladewalk/limits/slow_start.py
+++ b/gladewalk/limits/slow_start.py
@@ -15,7 +15,7 @@
 
 SAFETY_MARGIN = 0.8  # usable fraction of a server's budget, since capacities and mean times are estimates
 GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 are spread evenly over the unit interval
-BURST_FRACTION = 0.3  # of its budget per overload window that a sender may save up beyond one request
+BURST_FRACTION = 0.3  # a sender may save up this fraction of its budget per window, beyond one request
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +24,7 @@
 
     initial_fraction: float = 1.0
     ramp_ms: float = 0.0
-    overload_multiple: float = 1.0  # of the current capacity: the load at which the server fails
+    overload_multiple: float = 1.0  # the load at which a server fails, as a multiple of its current capacity
 
     def is_warming_up(self, started_ms: float, now_ms: float) -> bool:
         """Whether the ramp has not ended yet; a `started_ms` of 0 means that the server started long ago."""
--- a/gladewalk/policy/candidates.py
+++ b/gladewalk/policy/candidates.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class CandidateSelector:
-    """Orders servers for a request. Sends nothing; the only state it changes are its cached orders."""
+    """Orders servers for a request. Sends nothing, and changes no state except its cached orders."""
 
     state: RoutingState
     health: EndpointHealth
--- a/gladewalk/policy/health.py
+++ b/gladewalk/policy/health.py
@@ -13,7 +13,7 @@
 from ..registry.records import ServerRecord
 from ..registry.state import RoutingState
 
-MIN_OUTLIER_SLOWDOWN = 2.5  # times the location's median: more than random variation; lowers a cache's weight
+MIN_OUTLIER_SLOWDOWN = 2.5  # multiple of the location's median that isn't random and lowers a cache's weight
 MAX_HOME_ORDERS = 16_384  # bounds memory
 UNREACHABLE = (Status.CONNECT_FAILED, Status.TIMEOUT)
 
@@ -36,7 +36,7 @@
             return  # ejecting most caches of a location costs more than the responses that some of them lose
         was_unresponsive = now_ms - server.last_response_ms > MIN_OUTAGE_MS
         if is_unreachable and was_unresponsive and server.info.role is not Role.ORIGIN:
-            server.started_ms = now_ms  # it restarts empty and cold; the endpoint list reports that too late
+            server.started_ms = now_ms  # a server restarts empty and cold, which the list reports too late
         if is_unreachable or server.consecutive_failures > 1:
             server.backoff_until_ms = now_ms + backoff_ms(server.consecutive_failures)
 
--- a/gladewalk/policy/routing.py
+++ b/gladewalk/policy/routing.py
@@ -19,7 +19,7 @@
 RETRY_AFTER_MS = 500.0  # sent to a rejected client, unless clients only respect a shorter delay
 MIN_OBJECT_AGE_MS = 300.0  # under an age limit below this a lookup always misses: no copy is so young
 MIN_ATTEMPT_MS = 1.0
-PURGE_MARGIN_MS = 1_000.0  # added to the time for which purges are applied, which is until they have settled
+PURGE_MARGIN_MS = 1_000.0  # how much longer purges are applied than they take to settle
 UNCACHED_RANK, CACHED_RANK = 0, 1
 
 
@@ -46,7 +46,7 @@
         if request.id in state.pending:
             return
         if request_class is None:
-            state.emit(api.Reject(request.id))  # it was never sent anywhere: a retry is harmless
+            state.emit(api.Reject(request.id))  # the request was never sent anywhere: a retry is harmless
             return
         state.estimates.record_request(request, request_class)
         self._retries.budget.deposit()
@@ -78,7 +78,7 @@
             can_wait = self.candidates.homes(pending, include_ejected=True)
             return self._queue(pending) if can_wait else self._reject_or_fail(pending)
         host = homes[0]
-        if self._capacity.is_overloaded(host, pending):  # it would miss its objective and slow others
+        if self._capacity.is_overloaded(host, pending):  # a transfer would miss its objective and slow others
             second = self.candidates.second_home(pending, homes)
             if second is None:
                 return None if self._bypass_caches(pending, max_age_ms) else self._reject_or_fail(pending)
