--- a/gladewalk/interface/actions.py
+++ b/gladewalk/interface/actions.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """Request an object from a server, which fills a miss from `source` (if that is the server: no fill)."""
+    """Request an object from a server, which fills a miss from `source` unless that is the server itself."""
 
     id: int
     server: str
--- a/gladewalk/interface/events.py
+++ b/gladewalk/interface/events.py
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True)
 class ResolveRequest:
-    """A resolver queries where its clients fetch an object; it may keep the answer past its time to live."""
+    """A resolver queries the servers of an object; it may keep the answer past its time to live."""
 
     id: int
     class_name: str
--- a/gladewalk/interface/settings.py
+++ b/gladewalk/interface/settings.py
@@ -102,9 +102,9 @@
     origin_transfer_price: float = 0.0
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    slow_start_fraction: float = 1.0  # of its capacity that a restarted cache has at its start
+    slow_start_fraction: float = 1.0  # fraction of its capacity that a restarted cache has at its start
     slow_start_ms: float = 0.0
-    overload_multiple: float = 1.0  # of its current capacity: the load at which a cache fails
+    overload_multiple: float = 1.0  # the load at which a cache fails, as a multiple of its current capacity
     overload_window_ms: float = 1000.0
     parent_slow_start_fraction: float = 1.0
     parent_slow_start_ms: float = 0.0
--- a/gladewalk/registry/capacity_estimates.py
+++ b/gladewalk/registry/capacity_estimates.py
@@ -12,7 +12,7 @@
 from .servers import ServerRegistry
 
 SPARE_UTILIZATION = 0.8  # reported utilization below which a link has spare capacity despite local counts
-LOAD_REPORT_TTL_MS = 1_500.0  # a few intervals between load reports
+LOAD_REPORT_TTL_MS = 1_500.0  # how long a load report is used: a few intervals between load reports
 SERVER_UTILIZATION, LINK_UTILIZATION = "util", "x1"  # fields of a load report
 
 
--- a/gladewalk/registry/estimates.py
+++ b/gladewalk/registry/estimates.py
@@ -7,7 +7,7 @@
 from .records import PendingRequest
 
 EWMA_ALPHA = 0.1  # weight of a new sample in moving averages
-TRANSFER_EWMA_ALPHA = 0.05  # the same for transfer times
+TRANSFER_EWMA_ALPHA = 0.05  # weight of a new sample in moving averages of transfer times
 
 
 class TransferEstimates:
--- a/gladewalk/registry/outcome_recorder.py
+++ b/gladewalk/registry/outcome_recorder.py
@@ -12,7 +12,8 @@
 from .records import Attempt, PendingRequest, ServerRecord
 from .state import RoutingState
 
-# An unreachable server without a response for this long, the usual gap between responses, has restarted.
+# An unreachable server is assumed to have restarted if it has sent no response for this long, which is the
+# usual gap between responses.
 MIN_OUTAGE_MS = 400.0
 MIN_REMAINING_MS = 60.0  # a request with less time left is ended at once; longer than one sweep interval
 ORIGIN_DETAILS = (OutcomeDetail.ORIGIN_FAILED, OutcomeDetail.FILLED_BY_ORIGIN)
