--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -147,7 +147,7 @@
         max_wait_ms: float,
         make_request: Callable[[int], api.ResolveRequest],
     ) -> None:
-        """Has the module name the servers of an object; `responder` gets one answer in `max_wait_ms`."""
+        """Has the module name the servers of an object; `responder` gets one answer within `max_wait_ms`."""
         self._last_number += 1
         self.resolutions.add(make_request(self._last_number), responder, max_wait_ms)
 
--- a/gladewalk/net/accept_errors.py
+++ b/gladewalk/net/accept_errors.py
@@ -1,4 +1,4 @@
-"""Tells errors of `accept` that concern one connection from those of the process (accept(2)); no I/O."""
+"""Distinguishes `accept` errors of one connection from those of the process (accept(2)); no I/O."""
 
 from __future__ import annotations
 
--- a/gladewalk/net/clients.py
+++ b/gladewalk/net/clients.py
@@ -22,9 +22,9 @@
 MAX_BODY_BYTES = 64 * 1024  # a write carries at most 48,000 bytes
 LISTEN_BACKLOG = 1024
 FIRST_BYTE_TIMEOUT_MS = 2_000.0  # the first byte of a request must be received by this long after the connect
-IDLE_TIMEOUT_MS = 4_500.0  # clients close idle connections after 4 s; others are closed here
-LINGER_MS = 1_000.0  # how long input after the last response is discarded, so that no reset loses it
-EVICTION_GRACE_MS = 100.0  # a new connection may not be evicted before this time
+IDLE_TIMEOUT_MS = 4_500.0  # clients close idle connections after 4 s; the director closes the remaining ones
+LINGER_MS = 1_000.0  # how long input after the last response is discarded; a reset would lose the response
+EVICTION_GRACE_MS = 100.0  # a new connection has this long to send its first bytes before it may be evicted
 EVICTION_CANDIDATES = 8  # how many connections of each state are examined for an eviction
 SWEEP_INTERVAL_MS = 100.0
 PAUSED_CHECK_INTERVAL_MS = 50.0  # interval of checks whether a paused client has disconnected
@@ -129,7 +129,7 @@
             self._evict_one()
         try:
             peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError as error:  # it is served all the same, or its end is read
+        except OSError as error:  # the connection is served without the option, or a read reports its end
             self.counters.add(f"clients.option_failed.{error_name(error)}")
         connection = self.connection_type(self)
         task = loop.create_task(loop.connect_accepted_socket(partial(_return_connection, connection), peer))
@@ -138,7 +138,7 @@
 
     def _connection_set_up(self, task: asyncio.Task[object]) -> None:
         has_failed = task.cancelled() or task.exception() is not None
-        if not self._setting_up.pop(task).is_open and has_failed:  # an open one counts until it is lost
+        if not self._setting_up.pop(task).is_open and has_failed:  # an open connection counts until it closes
             self.descriptor_count -= 1
             self._resume_accepting()
 
@@ -198,7 +198,7 @@
         if self.readiness.is_draining:
             self._drain_idle(now)
         if self.is_closing:
-            self.accept()  # connections that exceeded the limit before
+            self.accept()  # connections for which there was no room before
             self._shut_down_unused()
         if not self._is_accepting:
             self._make_room()
--- a/gladewalk/net/read_turns.py
+++ b/gladewalk/net/read_turns.py
@@ -1,4 +1,4 @@
-"""Event-loop iterations: tells whether input may have waited long before it is read."""
+"""Event-loop iterations: determines whether input may have waited long before it is read."""
 
 from __future__ import annotations
 
--- a/gladewalk/upstream/http1.py
+++ b/gladewalk/upstream/http1.py
@@ -100,7 +100,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the connection is open."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not inherit from it
         self.poll = socket_poll(self.transport)
         self.pool.open_connections.add(self)
 
--- a/gladewalk/upstream/http2.py
+++ b/gladewalk/upstream/http2.py
@@ -106,7 +106,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the connection is open, including TLS if it is configured."""
         self.pool.open_connections.add(self)
-        self.output.open(cast(asyncio.Transport, transport))  # uvloop's does not inherit from it
+        self.output.open(cast(asyncio.Transport, transport))  # uvloop's transport does not inherit from it
 
     def connection_lost(self, error: Exception | None) -> None:
         """Called when the connection is closed; ends the work items of all open streams."""
