--- a/gladewalk/limits/sojourn.py
+++ b/gladewalk/limits/sojourn.py
@@ -12,7 +12,7 @@
 
 EWMA_ALPHA = 0.15
 STANDING_QUEUE_FRACTION = 0.5  # fraction of late fills above which a standing queue is assumed
-MAX_OBJECTIVES = 2.0  # latency objectives from a request's arrival to the time-out of its fill, in that case
+MAX_OBJECTIVES = 2.0  # latency objectives from a request's arrival to the timeout of its fill, in that case
 MIN_TIMEOUT_MS = 400.0
 
 
@@ -34,7 +34,7 @@
         self.late_fraction += EWMA_ALPHA * (is_late - self.late_fraction)
 
     def timeout_ms(self, request: TimedRequest, objective_ms: float, now_ms: float) -> float:
-        """Time-out of a fill that starts now; 0: only the request's own deadline applies."""
+        """Timeout of a fill that starts now; 0: only the request's own deadline applies."""
         if self.late_fraction <= STANDING_QUEUE_FRACTION:
             return 0.0
         waited_ms = now_ms - request.arrived_ms
--- a/gladewalk/net/connection.py
+++ b/gladewalk/net/connection.py
@@ -42,8 +42,8 @@
         self.socket_poll: SocketPoll | None = None
         # State kept by the owner.
         self.is_open = False  # its transport has been created
-        self.is_evicted = False  # it was ended to make room for another
-        self.state_table: dict[ClientConnection, float] | None = None  # the owner's table that it is in
+        self.is_evicted = False  # ended to make room for another connection
+        self.state_table: dict[ClientConnection, float] | None = None  # the owner's table for its state
         # The open request.
         self.open_number: int | None = None
         self.open_request: ClientRequest | None = None
--- a/gladewalk/policy/dispatcher.py
+++ b/gladewalk/policy/dispatcher.py
@@ -87,7 +87,7 @@
         state.purges.expire(state.now_ms - purge_ttl_ms)
 
     def _resume_waiting(self) -> None:
-        """Retry the DNS questions and requests that wait for a server."""
+        """Retry the resolve requests and client requests that wait for a server."""
         self.dns_placement.retry_unresolved()
         self.router.drain_queue()
 
--- a/gladewalk/policy/dns_placement.py
+++ b/gladewalk/policy/dns_placement.py
@@ -25,7 +25,7 @@
     candidates: CandidateSelector
 
     def on_resolve(self, question: api.ResolveRequest) -> None:
-        """Answer with the object's home or the director itself; queue the question if no server is usable."""
+        """Answer with the object's home or the director itself; queue the request if no server is usable."""
         state, request_class = self.state, self.state.classes.get(question.class_name)
         if request_class is None:
             return state.emit(api.Reject(question.id))
@@ -44,7 +44,7 @@
         return state.emit(api.Resolved(question.id, tuple(server.info.name for server in servers), ttl_ms))
 
     def retry_unresolved(self) -> None:
-        """Answer the queued questions for which a server is usable by now."""
+        """Answer the queued resolve requests for which a server is usable by now."""
         for question in list(self.state.unresolved.values()):
             self.on_resolve(question)
 
--- a/gladewalk/registry/state.py
+++ b/gladewalk/registry/state.py
@@ -46,8 +46,8 @@
         self.pending: dict[int, PendingRequest] = {}
         self.attempts: dict[AttemptKey, tuple[Attempt, PendingRequest]] = {}
         self.queue = RequestQueue(self.pending)  # requests that wait for a source
-        self.unresolved: dict[int, api.ResolveRequest] = {}  # DNS questions that wait for a usable server
-        self.dns_leases: DnsLeaseTable | None = None  # None until the first DNS question
+        self.unresolved: dict[int, api.ResolveRequest] = {}  # resolve requests without a usable server
+        self.dns_leases: DnsLeaseTable | None = None  # None until the first resolve request
         self.inbound_fills = 0  # fills in flight from outside this location, over its inbound link
         self.configure(settings)
 
--- a/gladewalk/upstream/http2_engine.py
+++ b/gladewalk/upstream/http2_engine.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from h2._typing import Buffer
 
-logging.getLogger("hpack.hpack").disabled = True  # it formats a line for each field even if none is logged
+logging.getLogger("hpack.hpack").disabled = True  # formats a line for each field, logged or not
 MAX_CLOSED_STREAMS = 4_096  # limits the memory for closed streams, for which delayed frames may be received
 OPEN_STREAM_SWEEP_INTERVAL = 64  # opened streams between two removals of closed streams in the library
 PREFIX_LENGTH_BYTES = 3  # a frame begins with its length, in 3 bytes (RFC 9113, section 4.1)
@@ -69,7 +69,7 @@
                 header_encoding=None,
                 validate_outbound_headers=False,  # `encode_fields` makes all of them in valid order and case
                 normalize_outbound_headers=False,
-                normalize_inbound_headers=False,  # it would only join cookies, and caches set none
+                normalize_inbound_headers=False,  # normalizing would only join cookies, and caches set none
             )
         )
         self.encoder = PlainEncoder()
