--- a/gladewalk/core/exchange.py
+++ b/gladewalk/core/exchange.py
@@ -39,7 +39,7 @@
     "ResponseHead", "ResponseWriter", "UpstreamPool",
 ]  # fmt: skip
 
-LOOP_ITERATION_MS = 20.0  # longer than a usual event-loop iteration: earlier input has been read
+LOOP_ITERATION_MS = 20.0  # a usual event-loop iteration is shorter, so input older than this has been read
 ANSWER_MARGIN_MS = 60.0  # a final answer is due this long before the deadline, as a busy loop adds delay
 
 
--- a/gladewalk/core/readiness.py
+++ b/gladewalk/core/readiness.py
@@ -14,7 +14,10 @@
 """For this long after SIGTERM new requests are still received and accepted."""
 
 MAX_SIGKILL_DELAY_MS = 3_000.0
-"""SIGKILL follows `SHUTDOWN_ACCEPT_MS` by this, or by the longest deadline of a class if it is shorter."""
+"""SIGKILL is sent this long after `SHUTDOWN_ACCEPT_MS` has passed.
+
+The delay is the longest deadline of a class if that is shorter.
+"""
 
 SIGKILL_MARGIN_MS = 80.0
 """Final answers are due this long before SIGKILL, so that they can be sent and the process can exit."""
--- a/gladewalk/limits/sojourn.py
+++ b/gladewalk/limits/sojourn.py
@@ -12,7 +12,7 @@
 
 EWMA_ALPHA = 0.15
 STANDING_QUEUE_FRACTION = 0.5  # fraction of late fills above which a standing queue is assumed
-MAX_OBJECTIVES = 2.0  # latency objectives from a request's arrival to the timeout of its fill, in that case
+MAX_OBJECTIVES = 2.0  # with such a queue, a fill times out this many objectives after its request's arrival
 MIN_TIMEOUT_MS = 400.0
 
 
--- a/gladewalk/net/coordinator.py
+++ b/gladewalk/net/coordinator.py
@@ -17,7 +17,7 @@
 HEARTBEAT_TIMEOUT_MS = 2_500.0  # the coordinator sends a heartbeat each second
 CONNECT_TIMEOUT_MS = 1_000.0
 MIN_BACKOFF_MS = 50.0
-MAX_BACKOFF_MS = 400.0  # short: 2 s after a disconnect an event counts as known here, received or not
+MAX_BACKOFF_MS = 400.0  # short, as 2 s after a disconnect an event counts as received even if it was not
 USABLE_LINE_TIMEOUT_MS = 5_000.0  # a connection that has sent no complete, valid line for this long is closed
 MAX_LINE_BYTES = 4 * 1024 * 1024
 
